--- a/capacity/counted.py
+++ b/capacity/counted.py
@@ -1,25 +1,22 @@
 """Runs a real daemon and counts the messages and bytes of its links; SIGUSR1 writes the counts to a file.
 
-    python3 -m capacity.counted registrar COUNTS_FILE
+python3 -m capacity.counted registrar COUNTS_FILE
 """
+
 import json
 import os
 import signal
 import sys
 
 import sumacloom.__main__  # noqa: F401  (finds the libraries)
-from sumacloom.daemon import run_daemon
 from sumacloom.courier import links
+from sumacloom.daemon import run_daemon
 
 COUNTS = {"messages_out": 0, "bytes_out": 0, "messages_in": 0, "bytes_in": 0}
 
 
 def count_links() -> None:
-    """Puts the counting around the links' own code.
-
-    >>> count_links.__name__
-    'count_links'
-    """
+    """Puts the counting around the links' own code."""
     frame, feed = links.frame, links.Unframer.feed
 
     def counted_frame(message):
@@ -33,21 +30,19 @@
         COUNTS["messages_in"] += len(found)
         COUNTS["bytes_in"] += len(data)
         return found
+
     links.frame, links.Unframer.feed = counted_frame, counted_feed
 
 
 def main(role: str, path: str) -> int:
-    """Runs the role.
-
-    >>> main.__name__
-    'main'
-    """
+    """Runs the role."""
     count_links()
 
     def write(_number, _frame):
         with open(path + ".new", "w", encoding="utf-8") as file:
             json.dump(COUNTS, file)
         os.replace(path + ".new", path)
+
     signal.signal(signal.SIGUSR1, write)
     return run_daemon(role)
 
--- a/capacity/fleet.py
+++ b/capacity/fleet.py
@@ -1,4 +1,5 @@
 """A fleet for one measurement: real registrars, hollow counters in a few processes, beats of backends."""
+
 import http.client
 import json
 import os
@@ -13,7 +14,7 @@
 CTL, PORTS, PER_PROCESS, BEAT_S = 17200, (17210, 17225), 50, 1.2
 REGISTRARS = 3
 TICKS = os.sysconf("SC_CLK_TCK")
-NET = f"127.{32 + os.getpid() % 64}.{os.getpid() // 64 % 64}"      # of this run alone: two may share a machine
+NET = f"127.{32 + os.getpid() % 64}.{os.getpid() // 64 % 64}"  # of this run alone: two may share a machine
 
 
 def settings(number: int, folder: str) -> str:
@@ -26,7 +27,7 @@
     return f'''node = "core-{number}"
 role = "registrar"
 ip = "{NET}.{number}"
-az = "zone-{'abc'[number - 1]}"
+az = "zone-{"abc"[number - 1]}"
 portRange = [{PORTS[0]}, {PORTS[1]}]
 seeds = {seeds}
 bootstrap = true
@@ -42,7 +43,14 @@
 '''
 
 
-def call(number: int, method: str, path: str, body: bytes = b"", headers: dict | None = None, cutoff_s: float = 5.0):
+def call(
+    number: int,
+    method: str,
+    path: str,
+    body: bytes = b"",
+    headers: dict | None = None,
+    cutoff_s: float = 5.0,
+):
     """A call to a registrar: (status, body)."""
     link = http.client.HTTPConnection(f"{NET}.{number}", CTL, timeout=cutoff_s)
     try:
@@ -77,30 +85,59 @@
 
     def start(self) -> None:
         """Registrars first, then counters, then the backends' beats."""
-        environment = {**os.environ, "PYTHONPATH": os.pathsep.join([ROOT, os.path.join(ROOT, "target", "deps")])}
+        environment = {
+            **os.environ,
+            "PYTHONPATH": os.pathsep.join([ROOT, os.path.join(ROOT, "target", "deps")]),
+        }
         for number in range(1, REGISTRARS + 1):
             path = os.path.join(self.folder.name, f"{number}.toml")
             with open(path, "w", encoding="utf-8") as file:
                 file.write(settings(number, self.folder.name))
-            self.registrars.append(subprocess.Popen(
-                [sys.executable, "-m", "capacity.counted", "registrar", path + ".counts"], cwd=ROOT,
-                env={**environment, "SUMACLOOM_NODE_FILE": path}, stderr=subprocess.DEVNULL))
-        self.until("the registrars answer", lambda: all(
-            call(number, "GET", "/api/admin/registrars")[0] == 200 for number in range(1, REGISTRARS + 1)))
+            self.registrars.append(
+                subprocess.Popen(
+                    [sys.executable, "-m", "capacity.counted", "registrar", path + ".counts"],
+                    cwd=ROOT,
+                    env={**environment, "SUMACLOOM_NODE_FILE": path},
+                    stderr=subprocess.DEVNULL,
+                )
+            )
+        self.until(
+            "the registrars answer",
+            lambda: all(
+                call(number, "GET", "/api/admin/registrars")[0] == 200
+                for number in range(1, REGISTRARS + 1)
+            ),
+        )
         self.put()
         seeds = ",".join(f"{NET}.{number}:{CTL}" for number in range(1, REGISTRARS + 1))
         for first in range(0, self.counters, PER_PROCESS):
             count = min(PER_PROCESS, self.counters - first)
-            self.hollows.append(subprocess.Popen(
-                [sys.executable, "-m", "capacity.hollow", str(first), str(count), seeds], cwd=ROOT, env=environment,
-                stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True))
+            self.hollows.append(
+                subprocess.Popen(
+                    [sys.executable, "-m", "capacity.hollow", str(first), str(count), seeds],
+                    cwd=ROOT,
+                    env=environment,
+                    stdin=subprocess.PIPE,
+                    stdout=subprocess.PIPE,
+                    stderr=subprocess.DEVNULL,
+                    text=True,
+                )
+            )
         for share in range(REGISTRARS):
             beater = threading.Thread(target=self.beat, args=(share,), daemon=True)
             beater.start()
             self.beaters.append(beater)
-        self.until("all counters hold all", lambda: all(
-            one["attached"] == one["holding"] and one["records"] >= self.backends for one in self.states())
-            and sum(one["attached"] for one in self.states()) == self.counters, 120.0)
+        self.until(
+            "all counters hold all",
+            lambda: (
+                all(
+                    one["attached"] == one["holding"] and one["records"] >= self.backends
+                    for one in self.states()
+                )
+                and sum(one["attached"] for one in self.states()) == self.counters
+            ),
+            120.0,
+        )
 
     def until(self, what: str, check, seconds: float = 20.0) -> None:
         """Waits for something to be so."""
@@ -113,11 +150,27 @@
     def put(self) -> float:
         """A blueprint of as many routes as wanted, one of them changed; gives when it was acknowledged."""
         base, self.ver = self.ver, self.ver + 1
-        body = json.dumps({"ver": self.ver, "svcs": [{"name": f"s{n}"} for n in range(max(1, self.routes // 3))], "routes": [
-            {"name": f"r{n}", "host": f"h{n * 7919 % 104729}", "svc": f"s{n % max(1, self.routes // 3)}",
-             "tmoMs": 1000 + (n == 0) * self.ver} for n in range(self.routes)]}, separators=(",", ":")).encode()
-        self.until("a blueprint is taken", lambda: call(
-            1, "PUT", "/api/config", body, {"If-Match": str(base)}, 20.0)[0] == 200, 40.0)
+        body = json.dumps(
+            {
+                "ver": self.ver,
+                "svcs": [{"name": f"s{n}"} for n in range(max(1, self.routes // 3))],
+                "routes": [
+                    {
+                        "name": f"r{n}",
+                        "host": f"h{n * 7919 % 104729}",
+                        "svc": f"s{n % max(1, self.routes // 3)}",
+                        "tmoMs": 1000 + (n == 0) * self.ver,
+                    }
+                    for n in range(self.routes)
+                ],
+            },
+            separators=(",", ":"),
+        ).encode()
+        self.until(
+            "a blueprint is taken",
+            lambda: call(1, "PUT", "/api/config", body, {"If-Match": str(base)}, 20.0)[0] == 200,
+            40.0,
+        )
         return time.monotonic()
 
     def beat(self, share: int) -> None:
@@ -127,9 +180,19 @@
         while not self.over.is_set():
             began, seq = time.monotonic(), seq + 1
             for number in range(share, self.backends, REGISTRARS):
-                body = json.dumps({"svc": f"s{number // 3}", "addr": f"127.9.{number // 250}.{number % 250 + 1}:80",
-                                   "az": "zone-a", "ver": "v1", "slots": 4, "phase": "up", "coldLeftMs": 0,
-                                   "dbrole": "primary" if number % 3 == 0 else "replica", "seq": seq})
+                body = json.dumps(
+                    {
+                        "svc": f"s{number // 3}",
+                        "addr": f"127.9.{number // 250}.{number % 250 + 1}:80",
+                        "az": "zone-a",
+                        "ver": "v1",
+                        "slots": 4,
+                        "phase": "up",
+                        "coldLeftMs": 0,
+                        "dbrole": "primary" if number % 3 == 0 else "replica",
+                        "seq": seq,
+                    }
+                )
                 try:
                     link.request("PUT", f"/api/instances/i-{number}", body)
                     link.getresponse().read()
@@ -161,7 +224,9 @@
                 fields = file.read().rsplit(")", 1)[1].split()
             with open(f"/proc/{process.pid}/status", encoding="ascii") as file:
                 resident = next(int(line.split()[1]) for line in file if line.startswith("VmRSS"))
-            found.append({**counts, "cpu_s": (int(fields[11]) + int(fields[12])) / TICKS, "rss_kb": resident})
+            found.append(
+                {**counts, "cpu_s": (int(fields[11]) + int(fields[12])) / TICKS, "rss_kb": resident}
+            )
         return found
 
     def close(self) -> None:
--- a/capacity/hollow.py
+++ b/capacity/hollow.py
@@ -1,7 +1,8 @@
 """Hollow counters: the real membership and news code of many counters in one process, without clients or wires.
 
-    python3 -m capacity.hollow FIRST COUNT SEEDS    one line of JSON for each line on standard input
+python3 -m capacity.hollow FIRST COUNT SEEDS    one line of JSON for each line on standard input
 """
+
 import json
 import os
 import resource
@@ -33,16 +34,16 @@
 
     def __init__(self, number: int, seeds: list[str]):
         ip = address(number, seeds[0])
-        self.settings = Settings(f"edge-{number:05d}", "counter", ip, ZONES[number % 3], seeds=seeds, port_range=PORTS)
-        self.took = {}                               # blueprint: when it came
-        self.member = Member(self.settings, time.monotonic, self.take_news, Yard(self.settings), [], dict, number + 1)
+        self.settings = Settings(
+            f"edge-{number:05d}", "counter", ip, ZONES[number % 3], seeds=seeds, port_range=PORTS
+        )
+        self.took = {}  # blueprint: when it came
+        self.member = Member(
+            self.settings, time.monotonic, self.take_news, Yard(self.settings), [], dict, number + 1
+        )
 
     async def take_news(self, _news) -> None:
-        """Notes when a blueprint came.
-
-        >>> Hollow.take_news.__name__
-        'take_news'
-        """
+        """Notes when a blueprint came."""
         found = self.member.board.blueprint
         if found:
             self.took.setdefault(found.ver, time.monotonic())
@@ -59,9 +60,13 @@
         resident = next(int(line.split()[1]) for line in file if line.startswith("VmRSS"))
     newest = max((max(one.took, default=0) for one in hollows), default=0)
     return {
-        **COUNTS, "cpu_s": used.ru_utime + used.ru_stime, "rss_kb": resident, "pid": os.getpid(),
+        **COUNTS,
+        "cpu_s": used.ru_utime + used.ru_stime,
+        "rss_kb": resident,
+        "pid": os.getpid(),
         "attached": sum(one.member.session is not None for one in hollows),
-        "direct": sum(not one.member.parent_address for one in hollows), "blueprint": newest,
+        "direct": sum(not one.member.parent_address for one in hollows),
+        "blueprint": newest,
         "holding": sum(newest in one.took for one in hollows),
         "last_at": max((one.took[newest] for one in hollows if newest in one.took), default=0.0),
         "records": min((len(one.member.board.records) for one in hollows), default=0),
@@ -69,12 +74,9 @@
 
 
 async def main(first: int, count: int, seeds: list[str]) -> None:
-    """Runs hollow counters, and answers each line on standard input with the state.
-
-    >>> main.__name__
-    'main'
-    """
+    """Runs hollow counters, and answers each line on standard input with the state."""
     import curio
+
     hollows = [Hollow(number, seeds) for number in range(first, first + count)]
     for one in hollows:
         await curio.spawn(one.member.serve_children, daemon=True)
@@ -85,6 +87,7 @@
             await curio.sleep(0.05)
             for one in hollows:
                 one.member.feed_children()
+
     await curio.spawn(feed, daemon=True)
     while await curio.run_in_thread(sys.stdin.readline):
         print(json.dumps(state(hollows)), flush=True)
@@ -92,6 +95,7 @@
 
 if __name__ == "__main__":
     import curio
+
     start_logs("ERROR", "hollow")
     count_links()
     curio.run(main, int(sys.argv[1]), int(sys.argv[2]), sys.argv[3].split(","))
--- a/capacity/load.py
+++ b/capacity/load.py
@@ -1,4 +1,5 @@
 """One real counter under load on loopback: processor time per statement, memory per session."""
+
 import json
 import os
 import signal
@@ -20,11 +21,7 @@
 
 
 def settings(folder: str) -> str:
-    """The counter's settings file; gives its path.
-
-    >>> settings.__name__
-    'settings'
-    """
+    """The counter's settings file; gives its path."""
     path = os.path.join(folder, "counter.toml")
     seeds = json.dumps([f"{NET}.{one}:{CTL}" for one in range(1, REGISTRARS + 1)])
     with open(path, "w", encoding="utf-8") as file:
@@ -46,11 +43,7 @@
 
 
 async def backend(sock) -> None:
-    """A backend that grants everything; its log stands still.
-
-    >>> backend.__name__
-    'backend'
-    """
+    """A backend that grants everything; its log stands still."""
     splitter, state = LineSplitter(), "I"
     async with sock:
         while True:
@@ -68,23 +61,27 @@
                     continue
                 verb = words[4] if words[2] == "WAITPOS" else words[2]
                 state = {"BEGIN": "T", "COMMIT": "I", "ABORT": "I"}.get(verb, state)
-                row = "ROW primary 1 1.10 0 0 4 1\r\n" if verb == "STAT" else "ROW x\r\n" if verb == "FETCH" else ""
+                row = (
+                    "ROW primary 1 1.10 0 0 4 1\r\n"
+                    if verb == "STAT"
+                    else "ROW x\r\n"
+                    if verb == "FETCH"
+                    else ""
+                )
                 out += f"{row}DONE 7.1\r\nREADY {state} 1.10\r\n".encode()
             await sock.sendall(out)
 
 
 async def session(asked: list, until: list, pause_s: float) -> None:
-    """A client: reads and writes by turns until told to end.
-
-    >>> session.__name__
-    'session'
-    """
+    """A client: reads and writes by turns until told to end."""
     sock = await dial(IP, FE, 10.0, 0)
     splitter = LineSplitter()
     async with sock:
         await sock.sendall(encode("LOGIN h0 someone"))
         while True:
-            while not any(line.startswith("READY") for line in splitter.feed(await sock.recv(65536))):
+            while not any(
+                line.startswith("READY") for line in splitter.feed(await sock.recv(65536))
+            ):
                 pass
             if until[0]:
                 return
@@ -120,8 +117,13 @@
     over[0] = True
     for task in tasks:
         await task.cancel()
-    return {"sessions": sessions, "statements": done, "seconds": round(took, 2), "cpu_s": round(after[0] - before[0], 3),
-            "rss_kb": after[1]}
+    return {
+        "sessions": sessions,
+        "statements": done,
+        "seconds": round(took, 2),
+        "cpu_s": round(after[0] - before[0], 3),
+        "rss_kb": after[1],
+    }
 
 
 async def measure(pid: int, sizes: list[tuple], seconds: float) -> list[dict]:
@@ -152,17 +154,40 @@
             while not over.is_set():
                 seq += 1
                 for number, ip in enumerate(PAIR):
-                    body = json.dumps({"svc": "s0", "addr": f"{ip}:{BACKEND}", "az": "zone-a", "ver": "v1", "slots": 64,
-                                       "phase": "up", "coldLeftMs": 0, "dbrole": "replica" if number else "primary", "seq": seq})
+                    body = json.dumps(
+                        {
+                            "svc": "s0",
+                            "addr": f"{ip}:{BACKEND}",
+                            "az": "zone-a",
+                            "ver": "v1",
+                            "slots": 64,
+                            "phase": "up",
+                            "coldLeftMs": 0,
+                            "dbrole": "replica" if number else "primary",
+                            "seq": seq,
+                        }
+                    )
                     call(1, "PUT", f"/api/instances/i-{number}", body.encode())
                 over.wait(1.0)
+
         beater = threading.Thread(target=beat, daemon=True)
         beater.start()
-        environment = {**os.environ, "PYTHONPATH": os.pathsep.join([ROOT, os.path.join(ROOT, "target", "deps")])}
-        counter = subprocess.Popen([sys.executable, "-m", "sumacloom", "counter"], cwd=ROOT, stderr=subprocess.DEVNULL,
-                                   env={**environment, "SUMACLOOM_NODE_FILE": settings(folder)})
+        environment = {
+            **os.environ,
+            "PYTHONPATH": os.pathsep.join([ROOT, os.path.join(ROOT, "target", "deps")]),
+        }
+        counter = subprocess.Popen(
+            [sys.executable, "-m", "sumacloom", "counter"],
+            cwd=ROOT,
+            stderr=subprocess.DEVNULL,
+            env={**environment, "SUMACLOOM_NODE_FILE": settings(folder)},
+        )
         try:
-            fleet.until("the counter is ready", lambda: "edge-real" in str(call(1, "GET", "/api/admin/counters")[1]), 20.0)
+            fleet.until(
+                "the counter is ready",
+                lambda: "edge-real" in str(call(1, "GET", "/api/admin/counters")[1]),
+                20.0,
+            )
             time.sleep(1.0)
             return curio.run(measure, counter.pid, sizes, seconds)
         finally:
--- a/capacity/measure.py
+++ b/capacity/measure.py
@@ -1,8 +1,9 @@
 """Measures the control plane's slopes, and one real counter; writes the figures that docs/CAPACITY.md cites.
 
-    python3 -m capacity.measure                      the whole, some four minutes
-    python3 -m capacity.measure --small              a small run, as the tests play it
+python3 -m capacity.measure                      the whole, some four minutes
+python3 -m capacity.measure --small              a small run, as the tests play it
 """
+
 import json
 import os
 import resource
@@ -25,12 +26,16 @@
     >>> check([0], [10], [10], [10])
     'counters must be from 1 to 1000, not 0'
     """
-    for name, values, least, most in (("counters", counters, 1, MOST_COUNTERS), ("backends", backends, 1, MOST_BACKENDS),
-                                      ("routes", routes, 1, MOST_ROUTES), ("sessions", sessions, 1, MOST_SESSIONS)):
+    for name, values, least, most in (
+        ("counters", counters, 1, MOST_COUNTERS),
+        ("backends", backends, 1, MOST_BACKENDS),
+        ("routes", routes, 1, MOST_ROUTES),
+        ("sessions", sessions, 1, MOST_SESSIONS),
+    ):
         wrong = [value for value in values if not least <= value <= most]
         if wrong or not values:
             return f"{name} must be from {least} to {most}, not {wrong[0] if wrong else 'nothing'}"
-    have = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / 2 ** 20
+    have = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / 2**20
     need = max(counters) * MB_EACH + 400
     if need > have * SHARE_OF_MEMORY:
         return f"{max(counters)} counters need some {need:.0f} MB, more than half of this machine's {have:.0f} MB"
@@ -43,9 +48,18 @@
     >>> delta([{"cpu_s": 1.0, "rss_kb": 5}], [{"cpu_s": 2.0, "rss_kb": 9}], 2.0)
     {'cpu_s': 0.5, 'rss_kb': 9}
     """
-    names = [name for name in after[0] if name in ("cpu_s", "messages_in", "messages_out", "bytes_in", "bytes_out")]
-    return {**{name: round(sum(new[name] - old[name] for old, new in zip(before, after)) / seconds, 4) for name in names},
-            "rss_kb": sum(one["rss_kb"] for one in after)}
+    names = [
+        name
+        for name in after[0]
+        if name in ("cpu_s", "messages_in", "messages_out", "bytes_in", "bytes_out")
+    ]
+    return {
+        **{
+            name: round(sum(new[name] - old[name] for old, new in zip(before, after)) / seconds, 4)
+            for name in names
+        },
+        "rss_kb": sum(one["rss_kb"] for one in after),
+    }
 
 
 def one(counters: int, backends: int, routes: int, seconds: float) -> dict:
@@ -58,18 +72,33 @@
         time.sleep(seconds)
         quiet_s = time.monotonic() - at
         later, hollow_later = fleet.registrar_state(), fleet.states()
-        quiet = {"registrars": delta(registrars, later, quiet_s), "counters": delta(hollows, hollow_later, quiet_s)}
+        quiet = {
+            "registrars": delta(registrars, later, quiet_s),
+            "counters": delta(hollows, hollow_later, quiet_s),
+        }
         acked = fleet.put()
-        fleet.until("all hold the change", lambda: all(
-            one["blueprint"] == fleet.ver and one["holding"] == one["attached"] for one in fleet.states()), 30.0)
+        fleet.until(
+            "all hold the change",
+            lambda: all(
+                one["blueprint"] == fleet.ver and one["holding"] == one["attached"]
+                for one in fleet.states()
+            ),
+            30.0,
+        )
         changed = fleet.states()
         rest = time.monotonic() - at - quiet_s
         news = delta(hollow_later, changed, 1.0)
         return {
-            "counters": counters, "backends": backends, "routes": routes, "ready_s": round(ready, 2),
-            "direct": sum(one["direct"] for one in changed), "quiet": quiet,
-            "change": {"last_s": round(max(one["last_at"] for one in changed) - acked, 3),
-                       "bytes_in": max(0, round(news["bytes_in"] - rest * quiet["counters"]["bytes_in"]))},
+            "counters": counters,
+            "backends": backends,
+            "routes": routes,
+            "ready_s": round(ready, 2),
+            "direct": sum(one["direct"] for one in changed),
+            "quiet": quiet,
+            "change": {
+                "last_s": round(max(one["last_at"] for one in changed) - acked, 3),
+                "bytes_in": max(0, round(news["bytes_in"] - rest * quiet["counters"]["bytes_in"])),
+            },
             "processes": len(fleet.hollows),
         }
 
@@ -87,28 +116,57 @@
     start = mean_y - rise * mean_x
     top = max(abs(y) for _x, y in points) or 1.0
     off = max(abs(start + rise * x - y) for x, y in points) / top
-    return {"intercept": float(f"{start:.4g}"), "slope": float(f"{rise:.4g}"), "off": round(off, 3),
-            "from": min(x for x, _y in points), "to": max(x for x, _y in points)}
+    return {
+        "intercept": float(f"{start:.4g}"),
+        "slope": float(f"{rise:.4g}"),
+        "off": round(off, 3),
+        "from": min(x for x, _y in points),
+        "to": max(x for x, _y in points),
+    }
 
 
 def fits(runs: list[dict], base: tuple[int, int, int]) -> dict:
     """The slope of each figure along each count, the other two at their base."""
     found = {}
     for place, name in enumerate(("counters", "backends", "routes")):
-        along = [run for run in runs if all(
-            (run["counters"], run["backends"], run["routes"])[other] == base[other] for other in range(3) if other != place)]
+        along = [
+            run
+            for run in runs
+            if all(
+                (run["counters"], run["backends"], run["routes"])[other] == base[other]
+                for other in range(3)
+                if other != place
+            )
+        ]
         found[name] = {
             f"{role} {figure}": slope([(run[name], run["quiet"][role][figure]) for run in along])
-            for role in ("registrars", "counters") for figure in ("cpu_s", "messages_in", "messages_out", "bytes_in", "bytes_out", "rss_kb")
+            for role in ("registrars", "counters")
+            for figure in (
+                "cpu_s",
+                "messages_in",
+                "messages_out",
+                "bytes_in",
+                "bytes_out",
+                "rss_kb",
+            )
         }
         found[name]["news last_s"] = slope([(run[name], run["change"]["last_s"]) for run in along])
-        found[name]["news bytes_in"] = slope([(run[name], run["change"]["bytes_in"]) for run in along])
+        found[name]["news bytes_in"] = slope(
+            [(run[name], run["change"]["bytes_in"]) for run in along]
+        )
     return found
 
 
-def main(*, counters: list[int] = [50, 100, 200, 400], backends: list[int] = [60, 300, 900],
-         routes: list[int] = [90, 900, 2700], sessions: list[int] = [100, 500, 1000, 2000], seconds: float = 6.0,
-         out: str = "docs/capacity.json", small: bool = False) -> int:
+def main(
+    *,
+    counters: list[int] = [50, 100, 200, 400],
+    backends: list[int] = [60, 300, 900],
+    routes: list[int] = [90, 900, 2700],
+    sessions: list[int] = [100, 500, 1000, 2000],
+    seconds: float = 6.0,
+    out: str = "docs/capacity.json",
+    small: bool = False,
+) -> int:
     """Measures slopes over real registrars and hollow counters on loopback; ends all that it starts.
 
     :param counters: how many counters, one fleet after the other; the first is the base of the other counts
@@ -121,25 +179,39 @@
     """
     if small:
         counters, backends, routes, sessions, seconds = [6, 12], [6, 12], [6, 12], [5, 10], 1.0
-    wrong = check(counters, backends, routes, sessions) or ("" if 0 < seconds <= 60 else "seconds must be above 0, 60 at most")
+    wrong = check(counters, backends, routes, sessions) or (
+        "" if 0 < seconds <= 60 else "seconds must be above 0, 60 at most"
+    )
     if wrong:
         print(f"capacity: {wrong} (code 1500)", file=sys.stderr)
         return USAGE
     from . import load
+
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, 20_000), hard))
     base = (counters[0], backends[0], routes[0])
-    sizes = dict.fromkeys([*((count, *base[1:]) for count in counters), *((base[0], count, base[2]) for count in backends),
-                           *((*base[:2], count) for count in routes)])
+    sizes = dict.fromkeys(
+        [
+            *((count, *base[1:]) for count in counters),
+            *((base[0], count, base[2]) for count in backends),
+            *((*base[:2], count) for count in routes),
+        ]
+    )
     runs = []
     for size in sizes:
         runs.append(one(*size, seconds))
         print(json.dumps(runs[-1]), flush=True)
     real = load.run([(count, 0.05 if count < 200 else count / 4000) for count in sessions], seconds)
     result = {
-        "registrars": fleets.REGISTRARS, "seconds": seconds, "runs": runs, "slopes": fits(runs, base),
-        "counter": {"runs": real, "cpu_s a statement": slope([(one["statements"], one["cpu_s"]) for one in real]),
-                    "rss_kb a session": slope([(one["sessions"], one["rss_kb"]) for one in real])},
+        "registrars": fleets.REGISTRARS,
+        "seconds": seconds,
+        "runs": runs,
+        "slopes": fits(runs, base),
+        "counter": {
+            "runs": real,
+            "cpu_s a statement": slope([(one["statements"], one["cpu_s"]) for one in real]),
+            "rss_kb a session": slope([(one["sessions"], one["rss_kb"]) for one in real]),
+        },
     }
     with open(out, "w", encoding="utf-8") as file:
         json.dump(result, file, indent=1)
@@ -150,4 +222,5 @@
 
 if __name__ == "__main__":
     import defopt
+
     sys.exit(defopt.run(main, no_negated_flags=True))
--- a/sumacloom/agreement/acceptor.py
+++ b/sumacloom/agreement/acceptor.py
@@ -2,11 +2,12 @@
 
 No I/O: it returns its reply and the keys to write (synced BEFORE the reply leaves).
 """
+
 from typing import NamedTuple
 
 from ..common.types import NO_BALLOT, Ballot
 from .configuration import Configuration
-from .messages import Accept, Accepted, Copy, Reconfigured, Prepare, Promise, Query, Refused, Told
+from .messages import Accept, Accepted, Copy, Prepare, Promise, Query, Reconfigured, Refused, Told
 
 
 class Slot(NamedTuple):
@@ -29,7 +30,7 @@
     def __init__(self, configuration: Configuration, incarnation: int, learned: bool = True):
         self.configuration, self.incarnation, self.learned = configuration, incarnation, learned
         self.slots: dict[str, Slot] = {}
-        self.floor = NO_BALLOT           # promised for every key, to one that had lost its memory
+        self.floor = NO_BALLOT  # promised for every key, to one that had lost its memory
 
     def slot(self, key: str) -> Slot:
         """What is held of a key.
@@ -58,16 +59,19 @@
             value = None if message.known == slot.accepted else slot.value
             return Copy(message.key, message.ballot, slot.accepted, value), []
         if message.ballot < slot.promised or (
-                isinstance(message, Accept) and message.incarnation != self.incarnation):
+            isinstance(message, Accept) and message.incarnation != self.incarnation
+        ):
             return Refused(message.key, message.ballot, slot.promised), []
         if isinstance(message, Prepare):
-            if message.ballot == slot.promised:      # the same prepare again: the same promise
+            if message.ballot == slot.promised:  # the same prepare again: the same promise
                 writes = []
             else:
                 self.slots[message.key] = slot._replace(promised=message.ballot)
                 writes = [message.key]
             value = None if message.known == slot.accepted else slot.value
-            return Promise(message.key, message.ballot, slot.accepted, value, self.incarnation), writes
+            return Promise(
+                message.key, message.ballot, slot.accepted, value, self.incarnation
+            ), writes
         if slot.accepted == message.ballot:
             return Accepted(message.key, message.ballot), []
         self.slots[message.key] = Slot(message.ballot, message.ballot, message.value)
@@ -107,7 +111,9 @@
         """
         if not self.learned:
             return None
-        return Told(self.configuration, [(key, *slot) for key, slot in self.slots.items()], self.floor)
+        return Told(
+            self.configuration, [(key, *slot) for key, slot in self.slots.items()], self.floor
+        )
 
     def learn(self, tales: dict[str, Told], barrier: Ballot = NO_BALLOT) -> list[str] | None:
         """Adopts the highest value per key once enough others told; gives the keys to write.
@@ -122,10 +128,15 @@
         """
         if self.learned or not tales:
             return None
-        newest = max([self.configuration, *(told.configuration for told in tales.values())], key=lambda configuration: configuration.generation)
+        newest = max(
+            [self.configuration, *(told.configuration for told in tales.values())],
+            key=lambda configuration: configuration.generation,
+        )
         sure = {
-            voter: told for voter, told in tales.items()
-            if told.floor == barrier and all(Ballot(*promised) == barrier for _key, promised, *_rest in told.slots)
+            voter: told
+            for voter, told in tales.items()
+            if told.floor == barrier
+            and all(Ballot(*promised) == barrier for _key, promised, *_rest in told.slots)
         }
         if not newest.meets_every_quorum(sure):
             return None
--- a/sumacloom/agreement/configuration.py
+++ b/sumacloom/agreement/configuration.py
@@ -1,9 +1,10 @@
 """Who votes, as daemons tell one another."""
+
 import zlib
 
 import msgspec
 
-FIRST = 1                # the generation of the first start's voters, which no round decided
+FIRST = 1  # the generation of the first start's voters, which no round decided
 
 
 class Configuration(msgspec.Struct, array_like=True, frozen=True):
@@ -28,7 +29,11 @@
         >>> Configuration(1, (), ("a", "b")).mark == Configuration(1, (), ("a", "c")).mark
         False
         """
-        return self.generation if self.generation != FIRST else -1 - zlib.crc32(",".join(sorted(self.new)).encode())
+        return (
+            self.generation
+            if self.generation != FIRST
+            else -1 - zlib.crc32(",".join(sorted(self.new)).encode())
+        )
 
     @property
     def members(self) -> list[str]:
@@ -54,7 +59,9 @@
         >>> Configuration(1, (), ("a", "b", "c")).has_quorum(["a"]), Configuration(1, (), ()).has_quorum(["a"])
         (False, False)
         """
-        return bool(self.sets) and all(sum(voter in voices for voter in voters) > len(voters) // 2 for voters in self.sets)
+        return bool(self.sets) and all(
+            sum(voter in voices for voter in voters) > len(voters) // 2 for voters in self.sets
+        )
 
     def meets_every_quorum(self, voices) -> bool:
         """Whether these voices meet every majority that could have decided.
@@ -62,4 +69,7 @@
         >>> Configuration(1, (), ("a", "b", "c", "d")).meets_every_quorum({"a", "b"}), Configuration(1, (), ("a", "b", "c")).meets_every_quorum({"a"})
         (True, False)
         """
-        return bool(self.sets) and all(sum(voter in voices for voter in voters) >= len(voters) - len(voters) // 2 for voters in self.sets)
+        return bool(self.sets) and all(
+            sum(voter in voices for voter in voters) >= len(voters) - len(voters) // 2
+            for voters in self.sets
+        )
--- a/sumacloom/agreement/contact.py
+++ b/sumacloom/agreement/contact.py
@@ -3,10 +3,13 @@
 After standing still, or over a link that holds letters back, old beats are read late. A beat says which of ours
 its sender had heard last, so that contact is as old as that beat of ours, however late the answer is read.
 """
+
 from ..common.types import NO_BALLOT, Ballot
 
-CONTACT_S = 1.8        # two beats' intervals and the way there and back are 0.8 s or so; the rest is for delays
-TOLD_S = 2.8           # what rarely changes is told once a second: contact, and that second
+CONTACT_S = (
+    1.8  # two beats' intervals and the way there and back are 0.8 s or so; the rest is for delays
+)
+TOLD_S = 2.8  # what rarely changes is told once a second: contact, and that second
 LONG_AGO = -1e9
 
 
@@ -14,10 +17,12 @@
     """The numbers of our beats, and how old each peer's contact with us is."""
 
     def __init__(self, number: int):
-        self.number = number                       # of our newest beat; each life of a process begins elsewhere
-        self.sent: dict[int, float] = {}           # number: when we sent it
-        self.answered: dict[str, float] = {}       # peer: when we sent the newest beat that it has answered
-        self.told: dict[str, tuple] = {}           # peer: (dated likewise, {key: newest ballot it accepted})
+        self.number = number  # of our newest beat; each life of a process begins elsewhere
+        self.sent: dict[int, float] = {}  # number: when we sent it
+        self.answered: dict[
+            str, float
+        ] = {}  # peer: when we sent the newest beat that it has answered
+        self.told: dict[str, tuple] = {}  # peer: (dated likewise, {key: newest ballot it accepted})
 
     def send(self, now: float) -> None:
         """Numbers the beat that is to be sent now.
@@ -68,5 +73,7 @@
     >>> newest_ballots({"k": (1, "a", 7)}, {"k": (2, "b", 8)})["k"].round
     2
     """
-    return {key: max(Ballot(*decided.get(key, NO_BALLOT)), Ballot(*undecided.get(key, NO_BALLOT)))
-            for key in {*decided, *undecided}}
+    return {
+        key: max(Ballot(*decided.get(key, NO_BALLOT)), Ballot(*undecided.get(key, NO_BALLOT)))
+        for key in {*decided, *undecided}
+    }
--- a/sumacloom/agreement/disk.py
+++ b/sumacloom/agreement/disk.py
@@ -1,4 +1,5 @@
 """What a node puts on its disk, and how it opens what the disk kept."""
+
 from . import storage
 
 
@@ -6,11 +7,7 @@
     """The part of a node that deals with its disk."""
 
     def open_acceptor(self):
-        """The acceptor as the ledger left it; at the very first start, a new one.
-
-        >>> OnDisk.open_acceptor.__name__
-        'open_acceptor'
-        """
+        """The acceptor as the ledger left it; at the very first start, a new one."""
         ledger = self.storage.ledger
         opened = storage.open_acceptor(ledger.payloads, self.storage.others)
         if opened.is_err():
@@ -29,37 +26,27 @@
         return acceptor
 
     def write(self, keys: list[str], promise_only: bool = False) -> None:
-        """Puts keys on their way to the disk.
-
-        >>> OnDisk.write.__name__
-        'write'
-        """
+        """Puts keys on their way to the disk."""
         if keys:
-            self.storage.write([storage.slot_record(self.acceptor, key, promise_only) for key in keys])
+            self.storage.write(
+                [storage.slot_record(self.acceptor, key, promise_only) for key in keys]
+            )
             self.snapshot_if_full()
 
     def write_floor(self, keys: list[str]) -> None:
-        """Puts the promise that holds for every key on its way to the disk.
-
-        >>> OnDisk.write_floor.__name__
-        'write_floor'
-        """
-        self.storage.write([storage.floor_record(self.acceptor), *(
-            storage.slot_record(self.acceptor, key, True) for key in keys)])
+        """Puts the promise that holds for every key on its way to the disk."""
+        self.storage.write(
+            [
+                storage.floor_record(self.acceptor),
+                *(storage.slot_record(self.acceptor, key, True) for key in keys),
+            ]
+        )
 
     def write_all(self) -> None:
-        """Puts everything on its way to the disk.
-
-        >>> OnDisk.write_all.__name__
-        'write_all'
-        """
+        """Puts everything on its way to the disk."""
         self.storage.write(self.whole(), whole=True)
 
     def snapshot_if_full(self) -> None:
-        """Writes a snapshot when the segment is full and the disk is ours alone.
-
-        >>> OnDisk.snapshot_if_full.__name__
-        'snapshot_if_full'
-        """
+        """Writes a snapshot when the segment is full and the disk is ours alone."""
         if self.storage.prompt and self.storage.ledger.full:
             self.storage.ledger.snapshot(self.whole())
--- a/sumacloom/agreement/hearing.py
+++ b/sumacloom/agreement/hearing.py
@@ -3,14 +3,29 @@
 from ..common.logs import Scribe
 from ..common.results import mishap
 from ..common.types import NO_BALLOT, Ballot
-from .messages import (Accept, Accepted, Copy, Decided, Fetch, Reconfigured, Prepare, Promise, Query, Refused, Settled,
-                       Tell, Told)
+from .messages import (
+    Accept,
+    Accepted,
+    Copy,
+    Decided,
+    Fetch,
+    Prepare,
+    Promise,
+    Query,
+    Reconfigured,
+    Refused,
+    Settled,
+    Tell,
+    Told,
+)
 
 scribe = Scribe("office")
 HEARERS = {}
-MOST_ROUND = 1 << 48   # no life of a cluster draws so many; a ballot above can't be overtaken, nor sent one day
-MOST_KEY = 512         # characters
-KNOWN_S = 30.0         # a registrar that nobody has named for so long is no longer dialled
+MOST_ROUND = (
+    1 << 48
+)  # no life of a cluster draws so many; a ballot above can't be overtaken, nor sent one day
+MOST_KEY = 512  # characters
+KNOWN_S = 30.0  # a registrar that nobody has named for so long is no longer dialled
 
 
 def hears(*kinds):
@@ -19,9 +34,11 @@
     >>> Tell in HEARERS
     True
     """
+
     def register(function):
         HEARERS.update(dict.fromkeys(kinds, function))
         return function
+
     return register
 
 
@@ -31,8 +48,14 @@
     >>> ballots_of(Decided("k", Ballot(4, "a", 1)))
     [Ballot(round=4, proposer='a', nonce=1)]
     """
-    named = [getattr(message, name) for name in ("ballot", "known", "accepted", "promised", "barrier", "floor") if hasattr(message, name)]
-    return named + [ballot for _key, *ballots, _value in getattr(message, "slots", []) for ballot in ballots]
+    named = [
+        getattr(message, name)
+        for name in ("ballot", "known", "accepted", "promised", "barrier", "floor")
+        if hasattr(message, name)
+    ]
+    return named + [
+        ballot for _key, *ballots, _value in getattr(message, "slots", []) for ballot in ballots
+    ]
 
 
 def is_credible(peer: str, message) -> bool:
@@ -43,10 +66,19 @@
     >>> is_credible("a", Decided("k", Ballot(1 << 60, "a", 1)))
     False
     """
-    asked = getattr(message, "barrier", None) if isinstance(message, Tell) else (
-        message.ballot if isinstance(message, (Prepare, Accept, Query)) else None)
-    return (asked in (None, NO_BALLOT) or asked[1] == peer) and len(getattr(message, "key", "")) <= MOST_KEY and all(
-        0 <= number <= MOST_ROUND and nonce >= 0 for number, _proposer, nonce in ballots_of(message))
+    asked = (
+        getattr(message, "barrier", None)
+        if isinstance(message, Tell)
+        else (message.ballot if isinstance(message, (Prepare, Accept, Query)) else None)
+    )
+    return (
+        (asked in (None, NO_BALLOT) or asked[1] == peer)
+        and len(getattr(message, "key", "")) <= MOST_KEY
+        and all(
+            0 <= number <= MOST_ROUND and nonce >= 0
+            for number, _proposer, nonce in ballots_of(message)
+        )
+    )
 
 
 @hears(Prepare, Accept, Query)
@@ -116,11 +148,21 @@
     True
     """
     ours = office.acceptor.configuration
-    if message.configuration.generation == ours.generation and message.configuration.mark != ours.mark and peer not in office.disputed:
+    if (
+        message.configuration.generation == ours.generation
+        and message.configuration.mark != ours.mark
+        and peer not in office.disputed
+    ):
         office.disputed.add(peer)
         found = mishap("voters_disputed")
-        scribe.warn("%d %s: %s here, %s at %s; neither counts the other's votes", found.code, found.sentence,
-                    ", ".join(ours.new), ", ".join(message.configuration.new), peer)
+        scribe.warn(
+            "%d %s: %s here, %s at %s; neither counts the other's votes",
+            found.code,
+            found.sentence,
+            ", ".join(ours.new),
+            ", ".join(message.configuration.new),
+            peer,
+        )
     if message.configuration.generation < office.acceptor.configuration.generation:
         if office.acceptor.learned:
             office.release(peer, Reconfigured(office.acceptor.configuration))
--- a/sumacloom/agreement/messages.py
+++ b/sumacloom/agreement/messages.py
@@ -1,4 +1,5 @@
 """What voters and proposers say to one another."""
+
 import msgspec
 
 from ..common.types import NO_BALLOT, Ballot
@@ -13,14 +14,14 @@
     key: str
     ballot: Ballot
     known: Ballot
-    configuration: int = 1               # the generation of the voters that the proposer counts by
+    configuration: int = 1  # the generation of the voters that the proposer counts by
 
 
 class Promise(Message):
     key: str
     ballot: Ballot
     accepted: Ballot
-    value: bytes | None          # None: nothing accepted, or what the asker knows
+    value: bytes | None  # None: nothing accepted, or what the asker knows
     incarnation: int
 
 
@@ -45,14 +46,14 @@
 
 class Query(Message):
     key: str
-    ballot: Ballot               # names the reading
+    ballot: Ballot  # names the reading
     known: Ballot
     configuration: int = 1
 
 
 class Copy(Message):
     key: str
-    ballot: Ballot               # of the reading
+    ballot: Ballot  # of the reading
     accepted: Ballot
     value: bytes | None
 
@@ -91,4 +92,4 @@
 class Told(Message):
     configuration: Configuration
     slots: list[tuple[str, Ballot, Ballot, bytes | None]]
-    floor: Ballot = NO_BALLOT    # what the teller promised for every key
+    floor: Ballot = NO_BALLOT  # what the teller promised for every key
--- a/sumacloom/agreement/proposer.py
+++ b/sumacloom/agreement/proposer.py
@@ -2,6 +2,7 @@
 
 No I/O: it returns the messages to send. There is no leader and no log; any registrar proposes.
 """
+
 import math
 import random
 
@@ -11,9 +12,9 @@
 from .messages import Accept, Copy, Prepare, Promise, Query, Refused
 
 RESEND_S = 0.1
-RENEW_S = 0.4      # a second round that lasts so long begins anew where a voter asked late tells of something newer
-REFUSED_S = 0.2    # a round refused by some, and not answered by the others for so long, begins anew
-BACK_OFF_S, MOST_BACK_OFF_S = 0.3, 0.48     # after the first lost duel, doubled with each
+RENEW_S = 0.4  # a second round that lasts so long begins anew where a voter asked late tells of something newer
+REFUSED_S = 0.2  # a round refused by some, and not answered by the others for so long, begins anew
+BACK_OFF_S, MOST_BACK_OFF_S = 0.3, 0.48  # after the first lost duel, doubled with each
 
 
 class Proposal:
@@ -24,7 +25,9 @@
     what is known to be decided, even under an Err.
     """
 
-    def __init__(self, key, change, configuration, known, ballots, now, cutoff_s=0.85, reading=False):
+    def __init__(
+        self, key, change, configuration, known, ballots, now, cutoff_s=0.85, reading=False
+    ):
         self.key, self.change, self.configuration = key, change, configuration
         self.known_ballot, self.known_value = known
         self.ballots = ballots
@@ -36,39 +39,23 @@
         self.begin(now)
 
     def begin(self, now: float) -> None:
-        """A fresh round with a ballot above all seen.
-
-        >>> Proposal.begin.__name__
-        'begin'
-        """
+        """A fresh round with a ballot above all seen."""
         self.ballot = self.ballots.next()
         self.replies, self.accepted, self.refused, self.late = {}, set(), set(), set()
         self.value, self.verdict, self.based_on = None, None, NO_BALLOT
         self.resume_at, self.sent_at, self.begun_at = None, now, now
 
     def hold(self) -> None:
-        """Waits until another change of the key has ended; `begin` ends the wait.
-
-        >>> Proposal.hold.__name__
-        'hold'
-        """
+        """Waits until another change of the key has ended; `begin` ends the wait."""
         self.resume_at = math.inf
 
     @property
     def held(self) -> bool:
-        """Whether it waits for another change of the key.
-
-        >>> Proposal.held.fget.__name__
-        'held'
-        """
+        """Whether it waits for another change of the key."""
         return self.resume_at == math.inf
 
     def count_by(self, configuration: Configuration, now: float) -> list[tuple]:
-        """Other voters than we counted by: a fresh round among them.
-
-        >>> Proposal.count_by.__name__
-        'count_by'
-        """
+        """Other voters than we counted by: a fresh round among them."""
         if self.outcome is not None or configuration.generation <= self.configuration.generation:
             return []
         self.configuration = configuration
@@ -78,28 +65,32 @@
         return self.messages()
 
     def messages(self) -> list[tuple]:
-        """What to send now to the voters that have not replied: (voter, message).
-
-        >>> Proposal.messages.__name__
-        'messages'
-        """
+        """What to send now to the voters that have not replied: (voter, message)."""
         if self.outcome is not None or self.resume_at is not None:
             return []
         if self.round == "accept":
             return [
-                (voter, Accept(self.key, self.ballot, self.value, promise.incarnation, self.configuration.mark))
-                for voter, promise in self.replies.items() if voter not in self.accepted
+                (
+                    voter,
+                    Accept(
+                        self.key,
+                        self.ballot,
+                        self.value,
+                        promise.incarnation,
+                        self.configuration.mark,
+                    ),
+                )
+                for voter, promise in self.replies.items()
+                if voter not in self.accepted
             ]
         kind = Query if self.round == "query" else Prepare
         message = kind(self.key, self.ballot, self.known_ballot, self.configuration.mark)
-        return [(voter, message) for voter in self.configuration.members if voter not in self.replies]
+        return [
+            (voter, message) for voter in self.configuration.members if voter not in self.replies
+        ]
 
     def hear(self, voter: str, message, now: float) -> list[tuple]:
-        """A voter's reply; gives what to send next.
-
-        >>> Proposal.hear.__name__
-        'hear'
-        """
+        """A voter's reply; gives what to send next."""
         if self.outcome is not None or self.resume_at is not None or message.ballot != self.ballot:
             return []
         if isinstance(message, Refused):
@@ -133,9 +124,6 @@
         One whose promise gave the value may have lost its disk since, and together with this voter it may have
         decided what this one tells of. All that accept have promised and told of nothing above `based_on`: so
         they are a majority that could have given the value by themselves.
-
-        >>> Proposal.promised_late.__name__
-        'promised_late'
         """
         if voter in self.replies:
             return []
@@ -143,25 +131,26 @@
             self.late.add(voter)
             return []
         self.replies[voter] = promise
-        return [(voter, Accept(self.key, self.ballot, self.value, promise.incarnation, self.configuration.mark))]
+        return [
+            (
+                voter,
+                Accept(
+                    self.key, self.ballot, self.value, promise.incarnation, self.configuration.mark
+                ),
+            )
+        ]
 
     def newest(self) -> tuple:
-        """The highest accepted (ballot, value) among the replies, and whether enough hold it.
-
-        >>> Proposal.newest.__name__
-        'newest'
-        """
+        """The highest accepted (ballot, value) among the replies, and whether enough hold it."""
         best = max(self.replies.values(), key=lambda reply: reply.accepted)
-        holders = {voter for voter, reply in self.replies.items() if reply.accepted == best.accepted}
+        holders = {
+            voter for voter, reply in self.replies.items() if reply.accepted == best.accepted
+        }
         value = self.known_value if best.accepted == self.known_ballot else best.value
         return Ballot(*best.accepted), value, self.configuration.has_quorum(holders)
 
     def read(self, now: float) -> list[tuple]:
-        """Enough copies: the value if a majority holds the same, else two rounds that settle it.
-
-        >>> Proposal.read.__name__
-        'read'
-        """
+        """Enough copies: the value if a majority holds the same, else two rounds that settle it."""
         if not self.configuration.has_quorum(self.replies):
             return []
         ballot, value, settled = self.newest()
@@ -181,9 +170,6 @@
 
         A change that finds nothing to do writes the value anew: an order before it that only a minority has
         accepted could else be finished after this one was acknowledged.
-
-        >>> Proposal.promised.__name__
-        'promised'
         """
         if not self.configuration.has_quorum(self.replies):
             return []
@@ -193,7 +179,9 @@
         ballot, value, settled = self.newest()
         result = self.change(value)
         changed = result.is_ok() and result.ok() is not None
-        if value is None and not changed or settled and (result.is_err() or self.reading and not changed):
+        if (value is None and not changed) or (
+            settled and (result.is_err() or (self.reading and not changed))
+        ):
             if value is not None:
                 self.decided = (ballot, value)
             self.outcome = result if result.is_err() else Ok((ballot, value))
@@ -204,21 +192,15 @@
         return self.messages()
 
     def back_off(self, now: float) -> None:
-        """Lost a duel: waits a random while, longer with each, then begins again.
-
-        >>> Proposal.back_off.__name__
-        'back_off'
-        """
-        self.resume_at = now + self.ballots.random.uniform(0.01, min(MOST_BACK_OFF_S, BACK_OFF_S * 2 ** self.lost))
+        """Lost a duel: waits a random while, longer with each, then begins again."""
+        self.resume_at = now + self.ballots.random.uniform(
+            0.01, min(MOST_BACK_OFF_S, BACK_OFF_S * 2**self.lost)
+        )
         self.lost += 1
         self.round = "prepare"
 
     def alarm(self, now: float) -> list[tuple]:
-        """By the clock: ends at the cutoff, resumes after a backoff or a refusal, sends again what went unheard.
-
-        >>> Proposal.alarm.__name__
-        'alarm'
-        """
+        """By the clock: ends at the cutoff, resumes after a backoff or a refusal, sends again what went unheard."""
         if self.outcome is not None:
             return []
         if now >= self.cutoff:
@@ -234,7 +216,9 @@
             self.begin(now)
             return self.messages()
         if now - self.sent_at >= RESEND_S:
-            if self.refused and now - self.begun_at >= REFUSED_S:       # the silent ones may never answer
+            if (
+                self.refused and now - self.begun_at >= REFUSED_S
+            ):  # the silent ones may never answer
                 self.back_off(now)
                 return []
             self.sent_at = now
--- a/sumacloom/agreement/storage.py
+++ b/sumacloom/agreement/storage.py
@@ -4,6 +4,7 @@
 at once, in the same thread; without it the shell syncs whole batches in a thread of its own, so that a
 disk that hangs holds up nothing but votes.
 """
+
 from typing import NamedTuple
 
 import msgspec
@@ -15,8 +16,12 @@
 from .configuration import Configuration
 
 scribe = Scribe("office")
-FIRST_PAUSE_S, MOST_PAUSE_S = 1.0, 30.0                   # between tries of a snapshot that the disk refuses
-OTHER_KINDS = {"spooled": 8, "spent": 4, "roster": 2}     # not the acceptor's, and how long such a record is
+FIRST_PAUSE_S, MOST_PAUSE_S = 1.0, 30.0  # between tries of a snapshot that the disk refuses
+OTHER_KINDS = {
+    "spooled": 8,
+    "spent": 4,
+    "roster": 2,
+}  # not the acceptor's, and how long such a record is
 
 
 def encode(record: tuple) -> bytes:
@@ -45,7 +50,7 @@
 
     payloads: list
     after: list
-    whole: bool = False                  # everything there is, so that nothing before it is needed
+    whole: bool = False  # everything there is, so that nothing before it is needed
 
 
 class Storage:
@@ -61,15 +66,11 @@
     def __init__(self, ledger, prompt: bool = True):
         self.ledger, self.prompt = ledger, prompt
         self.batches: list[Batch] = []
-        self.others: list[tuple] = []        # records of the spool and the roster, as the ledger had them
+        self.others: list[tuple] = []  # records of the spool and the roster, as the ledger had them
         self.snapshot_taken()
 
     def write(self, payloads: list, whole: bool = False) -> None:
-        """Puts records on their way to the disk; `whole` if they are everything there is.
-
-        >>> Storage.write.__name__
-        'write'
-        """
+        """Puts records on their way to the disk; `whole` if they are everything there is."""
         batch = Batch(payloads, [], whole)
         if self.prompt:
             self.sync([batch])
@@ -77,11 +78,7 @@
             self.batches.append(batch)
 
     def write_records(self, records: list[tuple]) -> None:
-        """Puts records of the spool or the roster on their way to the disk.
-
-        >>> Storage.write_records.__name__
-        'write_records'
-        """
+        """Puts records of the spool or the roster on their way to the disk."""
         self.write([encode(record) for record in records])
 
     def hold(self, peer: str, message) -> bool:
@@ -103,15 +100,11 @@
         return list(self.batches)
 
     def sync(self, batches: list[Batch]) -> None:
-        """Writes and syncs; this is what waits for the disk. A damaged ledger gets a snapshot once all is learned anew.
-
-        >>> Storage.sync.__name__
-        'sync'
-        """
+        """Writes and syncs; this is what waits for the disk. A damaged ledger gets a snapshot once all is learned anew."""
         learned = [place for place, batch in enumerate(batches) if batch.whole]
         if learned and self.ledger.damaged:
             self.ledger.snapshot(batches[learned[-1]].payloads)
-            batches = batches[learned[-1] + 1:]
+            batches = batches[learned[-1] + 1 :]
         if batches:
             self.ledger.append([payload for batch in batches for payload in batch.payloads])
 
@@ -122,7 +115,7 @@
         >>> Storage(Ledger(tempfile.mkdtemp())).snapshot_due(0.0), Storage(Ledger(tempfile.mkdtemp(), 0)).snapshot_due(0.0)
         (False, True)
         """
-        return self.ledger.crowded or self.ledger.full and now >= self.snapshot_at
+        return self.ledger.crowded or (self.ledger.full and now >= self.snapshot_at)
 
     def snapshot_refused(self, now: float) -> None:
         """The disk refused one: the next try comes after a growing pause.
@@ -147,7 +140,7 @@
         >>> Storage(None).written([])
         []
         """
-        del self.batches[:len(batches)]
+        del self.batches[: len(batches)]
         return [held for batch in batches for held in batch.after]
 
 
@@ -167,7 +160,9 @@
     b'\\x95\\xa4slot'
     """
     slot = acceptor.slot(key)
-    return msgspec.msgpack.encode(("promise", key, slot.promised) if promise_only else ("slot", key, *slot))
+    return msgspec.msgpack.encode(
+        ("promise", key, slot.promised) if promise_only else ("slot", key, *slot)
+    )
 
 
 def floor_record(acceptor: Acceptor) -> bytes:
@@ -185,8 +180,11 @@
     >>> len(whole(Acceptor(Configuration(1, (), ("a",)), 1)))
     2
     """
-    return [floor_record(acceptor), *(slot_record(acceptor, key) for key in acceptor.slots),
-            *([meta_record(acceptor)] if acceptor.learned else [])]
+    return [
+        floor_record(acceptor),
+        *(slot_record(acceptor, key) for key in acceptor.slots),
+        *([meta_record(acceptor)] if acceptor.learned else []),
+    ]
 
 
 def read_configuration(found) -> Configuration:
@@ -217,7 +215,9 @@
             else:
                 take_record(acceptor, *found)
         except (msgspec.MsgspecError, TypeError, ValueError, LookupError) as error:
-            return Err(mishap("ledger_foreign", f"the ledger holds a record that is not ours: {error}"))
+            return Err(
+                mishap("ledger_foreign", f"the ledger holds a record that is not ours: {error}")
+            )
     return Ok(acceptor)
 
 
@@ -229,13 +229,19 @@
     ValueError: a record of the kind 'nonsense'
     """
     if kind == "meta":
-        acceptor.configuration, acceptor.incarnation, acceptor.learned = read_configuration(rest[0]), rest[1], True
-    elif kind == "panel":            # its name on disk in the second version
+        acceptor.configuration, acceptor.incarnation, acceptor.learned = (
+            read_configuration(rest[0]),
+            rest[1],
+            True,
+        )
+    elif kind == "panel":  # its name on disk in the second version
         acceptor.configuration = read_configuration(rest[0])
     elif kind == "floor":
         acceptor.floor = max(acceptor.floor, Ballot(*rest[0]))
     elif kind == "promise":
-        acceptor.slots[rest[0]] = acceptor.slots.get(rest[0], Slot())._replace(promised=Ballot(*rest[1]))
+        acceptor.slots[rest[0]] = acceptor.slots.get(rest[0], Slot())._replace(
+            promised=Ballot(*rest[1])
+        )
     elif kind == "slot":
         key, promised, accepted, value = rest
         acceptor.slots[key] = Slot(Ballot(*promised), Ballot(*accepted), value)
@@ -243,7 +249,9 @@
         raise ValueError(f"a record of the kind '{kind}'")
 
 
-def after_start(acceptor: Acceptor, settings, seeds: list[str], nonce: int, fresh: bool) -> list[bytes]:
+def after_start(
+    acceptor: Acceptor, settings, seeds: list[str], nonce: int, fresh: bool
+) -> list[bytes]:
     """What an acceptor just opened becomes: a first start, or a voter that must learn. Gives records to write.
 
     >>> from sumacloom.common.settings import Settings
@@ -253,12 +261,18 @@
     """
     if acceptor.learned:
         return []
-    acceptor.configuration, acceptor.slots, acceptor.floor = Configuration(0, (), tuple(seeds)), {}, NO_BALLOT
+    acceptor.configuration, acceptor.slots, acceptor.floor = (
+        Configuration(0, (), tuple(seeds)),
+        {},
+        NO_BALLOT,
+    )
     if settings.bootstrap and fresh:
         acceptor.configuration = Configuration(1, (), tuple(seeds))
         acceptor.incarnation, acceptor.learned = nonce, True
         scribe.say("first start, the voters are %s", ", ".join(seeds))
         return whole(acceptor)
-    scribe.warn("%s: learning from the voters before voting",
-                "the disk is empty" if fresh else "the disk holds less than a whole memory")
+    scribe.warn(
+        "%s: learning from the voters before voting",
+        "the disk is empty" if fresh else "the disk holds less than a whole memory",
+    )
     return []
--- a/sumacloom/agreement/taken.py
+++ b/sumacloom/agreement/taken.py
@@ -3,9 +3,10 @@
 The packed form begins with the newest version that was forgotten (0 if none was): of an order at or below it
 nobody can tell any more whether it was taken.
 """
+
 from typing import NamedTuple
 
-DIGEST_BYTES = 6              # two bodies under one version are told apart but for one case in 2 ** 48
+DIGEST_BYTES = 6  # two bodies under one version are told apart but for one case in 2 ** 48
 MOST_TAKEN = 2048
 
 
@@ -42,8 +43,8 @@
     (True, 15)
     """
 
-    forgotten: int = 0                               # the newest version of which no digest is kept
-    entries: tuple[tuple[int, bytes], ...] = ()      # (version, digest), the newest last
+    forgotten: int = 0  # the newest version of which no digest is kept
+    entries: tuple[tuple[int, bytes], ...] = ()  # (version, digest), the newest last
 
     def add(self, ver: int, digest: bytes, most: int = 0) -> "Taken":
         """With one more; beyond the bound the oldest are forgotten.
@@ -52,7 +53,7 @@
         (7, b'123456')
         """
         entries = (*self.entries, (ver, digest[:DIGEST_BYTES]))
-        lost, kept = entries[:-(most or MOST_TAKEN)], entries[-(most or MOST_TAKEN):]
+        lost, kept = entries[: -(most or MOST_TAKEN)], entries[-(most or MOST_TAKEN) :]
         return Taken(lost[-1][0] if lost else self.forgotten, kept)
 
     def holds(self, ver: int, digest: bytes) -> bool:
@@ -90,7 +91,7 @@
         while place < len(packed):
             step, place = read_number(packed, place)
             ver += step
-            entries.append((ver, packed[place:place + DIGEST_BYTES]))
+            entries.append((ver, packed[place : place + DIGEST_BYTES]))
             place += DIGEST_BYTES
         return cls(forgotten, tuple(entries))
 
--- a/sumacloom/agreement/values.py
+++ b/sumacloom/agreement/values.py
@@ -1,4 +1,5 @@
 """What the registers hold, and the changes that may be made to them."""
+
 import hashlib
 import json
 
@@ -9,17 +10,28 @@
 from ..common.results import Err, Ok, mishap
 from .taken import Taken
 
-KEYS = ("blueprint", "evacuations", "duty/failover", "lanes", "voters", "listeners", "access", "pooling")
-OLD_HISTORY = 64              # how many a value of the older form remembered
+KEYS = (
+    "blueprint",
+    "evacuations",
+    "duty/failover",
+    "lanes",
+    "voters",
+    "listeners",
+    "access",
+    "pooling",
+)
+OLD_HISTORY = 64  # how many a value of the older form remembered
 MOST_PAST, MOST_PAST_BYTES, MOST_UNDOS = 4, 48 << 10, 16
 
 
 class BlueprintValue(msgspec.Struct, array_like=True):
     ver: int
     packed: bytes
-    history: bytes | list[tuple[int, str]]     # those taken, packed; a list on disks of the older form
-    past: list[tuple[int, bytes]] = []   # bodies before this one, the newest first, each as it differs from its follower
-    undos: list[tuple[int, int, int]] = []     # (ver undone, ver whose body came back, its new ver)
+    history: bytes | list[tuple[int, str]]  # those taken, packed; a list on disks of the older form
+    past: list[
+        tuple[int, bytes]
+    ] = []  # bodies before this one, the newest first, each as it differs from its follower
+    undos: list[tuple[int, int, int]] = []  # (ver undone, ver whose body came back, its new ver)
 
     def __post_init__(self):
         if isinstance(self.history, list):
@@ -112,13 +124,23 @@
         if taken.holds(ver, digest):
             return Ok(None)
         if base < ver <= taken.forgotten:
-            return Err(mishap("forgotten", f"it is not known any more whether the generation {ver} was this body"))
+            return Err(
+                mishap(
+                    "forgotten",
+                    f"it is not known any more whether the generation {ver} was this body",
+                )
+            )
         if base != current.ver:
-            return Err(mishap("stale_match", f"the current generation is {current.ver}, not {base}"))
+            return Err(
+                mishap("stale_match", f"the current generation is {current.ver}, not {base}")
+            )
         if ver <= current.ver:
-            return Err(mishap("old_generation", f"ver {ver} is not above the current {current.ver}"))
+            return Err(
+                mishap("old_generation", f"ver {ver} is not above the current {current.ver}")
+            )
         history = taken.add(ver, digest).pack()
         return Ok(encode(BlueprintValue(ver, packed, history, current.before(raw), current.undos)))
+
     return change
 
 
@@ -129,22 +151,37 @@
     >>> back = decode(BlueprintValue, undo_blueprint(7)(second).ok()); back.ver, back.raw, back.restores
     (8, b'{"ver":8}', 3)
     """
+
     def change(current_bytes):
         current = decode(BlueprintValue, current_bytes) or BlueprintValue(0, b"", [])
         if any(undone == wrong for undone, _old, _ver in current.undos):
             return Ok(None)
         if len(current.undos) >= MOST_UNDOS and wrong <= current.undos[0][0]:
-            return Err(mishap("forgotten", f"it is not known any more whether the generation {wrong} was undone"))
+            return Err(
+                mishap(
+                    "forgotten",
+                    f"it is not known any more whether the generation {wrong} was undone",
+                )
+            )
         if wrong != current.ver:
-            return Err(mishap("stale_match", f"the current generation is {current.ver}, not {wrong}"))
+            return Err(
+                mishap("stale_match", f"the current generation is {current.ver}, not {wrong}")
+            )
         if not current.past:
-            return Err(mishap("nothing_to_undo", f"nothing is kept from before the generation {wrong}"))
+            return Err(
+                mishap("nothing_to_undo", f"nothing is kept from before the generation {wrong}")
+            )
         old, difference = current.past[0]
         ver = current.ver + 1
-        raw = json.dumps({**json.loads(patch(current.raw, difference)), "ver": ver}, separators=(",", ":")).encode()
+        raw = json.dumps(
+            {**json.loads(patch(current.raw, difference)), "ver": ver}, separators=(",", ":")
+        ).encode()
         history = current.taken.add(ver, digest_of(raw)).pack()
         undos = [*current.undos, (wrong, old, ver)][-MOST_UNDOS:]
-        return Ok(encode(BlueprintValue(ver, pack_blueprint(raw), history, current.before(raw), undos)))
+        return Ok(
+            encode(BlueprintValue(ver, pack_blueprint(raw), history, current.before(raw), undos))
+        )
+
     return change
 
 
@@ -165,12 +202,14 @@
     >>> decode(EvacuationsValue, evacuate("z", True)(None).ok()).zones
     ['z']
     """
+
     def change(current_bytes):
         current = decode(EvacuationsValue, current_bytes) or EvacuationsValue(0, [])
         if current.generation and (zone in current.zones) == wanted:
             return Ok(None)
         zones = sorted({*current.zones, zone} if wanted else {*current.zones} - {zone})
         return Ok(encode(EvacuationsValue(current.generation + 1, zones)))
+
     return change
 
 
@@ -180,11 +219,13 @@
     >>> decode(DutyValue, claim_duty("a", 1, None)(None).ok()).fence
     1
     """
+
     def change(current_bytes):
         current = decode(DutyValue, current_bytes)
         if current != expected:
             return Err(mishap("stale_match", "the duty has another holder"))
         return Ok(encode(DutyValue(holder, (current.fence if current else 0) + 1, nonce)))
+
     return change
 
 
--- a/sumacloom/charts/__init__.py
+++ b/sumacloom/charts/__init__.py
@@ -3,6 +3,7 @@
 A chart file is JSON: {"start": STATE, "states": {STATE: {EVENT: [NEXT, ACTION, ...]}}}.
 The state "*" holds the events that every state takes.
 """
+
 import json
 import os
 from functools import cache
@@ -42,10 +43,7 @@
         data = json.load(file)
     states = data["states"]
     unknown = [
-        line[0]
-        for events in states.values()
-        for line in events.values()
-        if line[0] not in states
+        line[0] for events in states.values() for line in events.values() if line[0] not in states
     ]
     if unknown or data["start"] not in states:
         raise ValueError(f"chart {name}: unknown states {unknown}")
--- a/sumacloom/common/access.py
+++ b/sumacloom/common/access.py
@@ -2,10 +2,11 @@
 
 The verdict is a function of (list, database, caller's address) alone, so every counter gives the same one.
 """
+
 import msgspec
 
 ANY, UNKNOWN = "*", "unknown"
-DEFAULT = "default"              # the name under which the default action is counted
+DEFAULT = "default"  # the name under which the default action is counted
 
 
 class AccessRule(msgspec.Struct, frozen=True):
@@ -16,7 +17,7 @@
     """
 
     name: str
-    action: str                  # allow deny
+    action: str  # allow deny
     databases: list[str]
     regions: list[str]
 
@@ -49,17 +50,25 @@
     """
 
     def __init__(self, body: bytes, generation: int = 0):
-        from ipaddress import ip_address, ip_network        # only where a list is in use: start-up time is charged
+        from ipaddress import (
+            ip_address,
+            ip_network,
+        )  # only where a list is in use: start-up time is charged
+
         self.read_address = ip_address
         self.body, self.generation = body, generation
         found = msgspec.json.decode(body, type=AccessList)
         self.default, self.rules = found.default, found.rules
-        self.networks: dict[tuple, dict[int, str]] = {}      # (version, bits that vary): network: region
+        self.networks: dict[
+            tuple, dict[int, str]
+        ] = {}  # (version, bits that vary): network: region
         for text, region in found.networks.items():
             network = ip_network(text)
             loose = network.max_prefixlen - network.prefixlen
-            self.networks.setdefault((network.version, loose), {})[int(network.network_address) >> loose] = region
-        self.order = sorted(self.networks)                   # the most specific first
+            self.networks.setdefault((network.version, loose), {})[
+                int(network.network_address) >> loose
+            ] = region
+        self.order = sorted(self.networks)  # the most specific first
         self.verdicts: dict[tuple, Verdict] = {}
 
     def region(self, address: str) -> str:
@@ -74,8 +83,14 @@
             return UNKNOWN
         found = getattr(found, "ipv4_mapped", None) or found
         number = int(found)
-        return next((networks[number >> loose] for (version, loose), networks in self.by_width()
-                     if version == found.version and number >> loose in networks), UNKNOWN)
+        return next(
+            (
+                networks[number >> loose]
+                for (version, loose), networks in self.by_width()
+                if version == found.version and number >> loose in networks
+            ),
+            UNKNOWN,
+        )
 
     def by_width(self):
         """The networks, the most specific first.
@@ -101,9 +116,15 @@
         """
         key = (database, region)
         if key not in self.verdicts:
-            rule = next((rule for rule in self.rules if covers(rule.databases, database) and covers(rule.regions, region)),
-                        AccessRule(DEFAULT, self.default, [], []))
-            if len(self.verdicts) >= 4096:                   # names of no database come from clients: bounded
+            rule = next(
+                (
+                    rule
+                    for rule in self.rules
+                    if covers(rule.databases, database) and covers(rule.regions, region)
+                ),
+                AccessRule(DEFAULT, self.default, [], []),
+            )
+            if len(self.verdicts) >= 4096:  # names of no database come from clients: bounded
                 self.verdicts.clear()
             self.verdicts[key] = Verdict(rule.name, rule.action == "allow", region)
         return self.verdicts[key]
--- a/sumacloom/common/blueprint.py
+++ b/sumacloom/common/blueprint.py
@@ -1,9 +1,10 @@
 """The blueprint as the data plane reads it; the registrar's own model checks it first."""
+
 import zlib
 
 import msgspec
 
-PACK_FROM = 1024            # smaller bodies travel as they are
+PACK_FROM = 1024  # smaller bodies travel as they are
 MOST_UNPACKED = 8 << 20
 
 
@@ -32,7 +33,7 @@
 class BlueprintLimits(msgspec.Struct, rename="camel"):
     tx_idle_ms: float = 3000
     idle_ms: float = 15000
-    guarded: bool = False            # ours: who hears no settled registrar takes no work
+    guarded: bool = False  # ours: who hears no settled registrar takes no work
 
 
 class Blueprint(msgspec.Struct, rename="camel"):
--- a/sumacloom/common/differences.py
+++ b/sumacloom/common/differences.py
@@ -1,17 +1,18 @@
 """How one body differs from another: runs of the first, and what is new. Bodies are JSON lists of many objects."""
+
 import zlib
 
 import msgspec
 
-MARK = b"~"                  # no body and no packed body begins so
+MARK = b"~"  # no body and no packed body begins so
 SEAM = b"},{"
 MOST_PARTS = 100_000
 
 
 class Difference(msgspec.Struct, array_like=True):
-    base: int                # checksum of the body it is taken from
-    result: int              # and of the body it leads to
-    steps: list[tuple[int, int] | bytes]     # (first part, how many), or a new part
+    base: int  # checksum of the body it is taken from
+    result: int  # and of the body it leads to
+    steps: list[tuple[int, int] | bytes]  # (first part, how many), or a new part
 
 
 def differ(base: bytes, wanted: bytes) -> bytes:
@@ -26,7 +27,11 @@
     steps = []
     for part in wanted.split(SEAM):
         last = steps[-1] if steps else None
-        if isinstance(last, list) and last[0] + last[1] < len(parts) and parts[last[0] + last[1]] == part:
+        if (
+            isinstance(last, list)
+            and last[0] + last[1] < len(parts)
+            and parts[last[0] + last[1]] == part
+        ):
             last[1] += 1
         elif part in places:
             steps.append([places[part], 1])
@@ -42,14 +47,14 @@
     b'{"a":1}'
     """
     try:
-        found = msgspec.msgpack.decode(difference[len(MARK):], type=Difference)
+        found = msgspec.msgpack.decode(difference[len(MARK) :], type=Difference)
     except msgspec.MsgspecError as error:
         raise ValueError(f"a difference can't be read: {error}") from error
     if found.base != zlib.crc32(base):
         raise ValueError("a difference of another body")
     parts, result = base.split(SEAM), []
     for step in found.steps:
-        result += [step] if isinstance(step, bytes) else parts[step[0]:step[0] + step[1]]
+        result += [step] if isinstance(step, bytes) else parts[step[0] : step[0] + step[1]]
         if len(result) > MOST_PARTS:
             raise ValueError("a difference is too large")
     body = SEAM.join(result)
--- a/sumacloom/common/http.py
+++ b/sumacloom/common/http.py
@@ -1,9 +1,11 @@
 """HTTP/1.1 over curio with h11: a small server and a small client, both bounded."""
+
 import json
 import socket
 import struct
+from collections.abc import Callable
 from functools import partial
-from typing import Callable, NamedTuple
+from typing import NamedTuple
 
 import curio
 import h11
@@ -11,7 +13,7 @@
 MOST_BODY = 4 << 20
 MOST_HEAD = 16 << 10
 IDLE_S = 30.0
-AGAIN_S = "1"            # when a refusal for now may be tried again at the same place; at another, at once
+AGAIN_S = "1"  # when a refusal for now may be tried again at the same place; at another, at once
 READ_S = 8.0
 LINGER_S, MOST_LINGER = 0.5, 1 << 20
 
@@ -27,7 +29,7 @@
     path: str
     headers: dict
     body: bytes
-    gone: Callable[[], bool] = bool      # whether the caller has ended its connection meanwhile
+    gone: Callable[[], bool] = bool  # whether the caller has ended its connection meanwhile
 
 
 class Reply(NamedTuple):
@@ -58,15 +60,13 @@
     >>> mishap_reply(mishap("no_route")).status
     404
     """
-    return json_reply(found.status, found.body(), (("Retry-After", AGAIN_S),) if found.status == 503 else ())
+    return json_reply(
+        found.status, found.body(), (("Retry-After", AGAIN_S),) if found.status == 503 else ()
+    )
 
 
 async def serve_wire(sock, handler, most_body: int = MOST_BODY) -> None:
-    """Serves one connection until it ends; `handler` is async and takes a Request.
-
-    >>> serve_wire.__name__
-    'serve_wire'
-    """
+    """Serves one connection until it ends; `handler` is async and takes a Request."""
     machine = h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_HEAD)
     try:
         async with sock:
@@ -75,7 +75,10 @@
                 if reply is None:
                     return
                 await send_reply(sock, machine, reply)
-                if machine.our_state is h11.MUST_CLOSE or machine.states[h11.CLIENT] is not h11.DONE:
+                if (
+                    machine.our_state is h11.MUST_CLOSE
+                    or machine.states[h11.CLIENT] is not h11.DONE
+                ):
                     await read_out(sock)
                     return
                 machine.start_next_cycle()
@@ -84,11 +87,7 @@
 
 
 async def read_out(sock) -> None:
-    """Reads a little of what still comes, so that closing doesn't reset the reply on its way.
-
-    >>> read_out.__name__
-    'read_out'
-    """
+    """Reads a little of what still comes, so that closing doesn't reset the reply on its way."""
     sock._socket.shutdown(socket.SHUT_WR)
     async with curio.ignore_after(LINGER_S):
         for _chunk in range(MOST_LINGER >> 16):
@@ -97,18 +96,17 @@
 
 
 async def one_exchange(sock, machine, handler, most_body: int) -> Reply | None:
-    """Reads one request and has it handled; None at the end of the connection.
-
-    >>> one_exchange.__name__
-    'one_exchange'
-    """
+    """Reads one request and has it handled; None at the end of the connection."""
     request, body = None, []
     size = 0
     while True:
         try:
             event = machine.next_event()
         except h11.RemoteProtocolError as error:
-            return json_reply(error.error_status_hint, {"code": 1400, "error": "bad_request", "sentence": str(error)})
+            return json_reply(
+                error.error_status_hint,
+                {"code": 1400, "error": "bad_request", "sentence": str(error)},
+            )
         if event is h11.NEED_DATA:
             async with curio.timeout_after(IDLE_S if request is None else READ_S):
                 data = await sock.recv(65536)
@@ -116,16 +114,29 @@
         elif isinstance(event, h11.Request):
             request = event
             if machine.they_are_waiting_for_100_continue:
-                await sock.sendall(machine.send(h11.InformationalResponse(status_code=100, headers=[])))
+                await sock.sendall(
+                    machine.send(h11.InformationalResponse(status_code=100, headers=[]))
+                )
         elif isinstance(event, h11.Data):
             size += len(event.data)
             if size > most_body:
-                return json_reply(413, {"code": 1413, "error": "too_large", "sentence": "the body is too large"})
+                return json_reply(
+                    413, {"code": 1413, "error": "too_large", "sentence": "the body is too large"}
+                )
             body.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in request.headers}
-            return await handler(Request(request.method.decode(), request.target.decode("latin-1"), headers, b"".join(body),
-                                         partial(hung_up, sock._socket)))
+            headers = {
+                name.decode("latin-1"): value.decode("latin-1") for name, value in request.headers
+            }
+            return await handler(
+                Request(
+                    request.method.decode(),
+                    request.target.decode("latin-1"),
+                    headers,
+                    b"".join(body),
+                    partial(hung_up, sock._socket),
+                )
+            )
         else:
             return None
 
@@ -145,11 +156,7 @@
 
 
 async def send_reply(sock, machine, reply: Reply) -> None:
-    """Sends a whole reply.
-
-    >>> send_reply.__name__
-    'send_reply'
-    """
+    """Sends a whole reply."""
     headers = [("Content-Length", str(len(reply.body))), *reply.headers]
     if reply.body:
         headers.append(("Content-Type", "application/json"))
@@ -159,20 +166,27 @@
         await sock.sendall(data)
 
 
-async def call(dial, address: tuple[str, int], method: str, path: str, body: bytes = b"", headers: tuple = (),
-               cutoff_s: float = 1.0) -> tuple[int, dict, bytes]:
-    """One call; (0, {}, b"") when no clear reply comes in time.
-
-    >>> call.__name__
-    'call'
-    """
+async def call(
+    dial,
+    address: tuple[str, int],
+    method: str,
+    path: str,
+    body: bytes = b"",
+    headers: tuple = (),
+    cutoff_s: float = 1.0,
+) -> tuple[int, dict, bytes]:
+    """One call; (0, {}, b"") when no clear reply comes in time."""
     machine = h11.Connection(h11.CLIENT)
     try:
         async with curio.timeout_after(cutoff_s):
             sock = await dial(*address)
             async with sock:
-                lines = [("Host", f"{address[0]}:{address[1]}"), ("Content-Length", str(len(body))),
-                         ("Connection", "close"), *headers]
+                lines = [
+                    ("Host", f"{address[0]}:{address[1]}"),
+                    ("Content-Length", str(len(body))),
+                    ("Connection", "close"),
+                    *headers,
+                ]
                 if body:
                     lines.append(("Content-Type", "application/json"))
                 data = machine.send(h11.Request(method=method, target=path, headers=lines))
@@ -183,18 +197,16 @@
                     return await read_reply(sock, machine)
                 except curio.CancelledError:
                     # given up: a reset takes back what a cut still holds up, so that it can't land late
-                    sock._socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                    sock._socket.setsockopt(
+                        socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
+                    )
                     raise
     except (OSError, curio.TaskTimeout, h11.ProtocolError):
         return 0, {}, b""
 
 
 async def read_reply(sock, machine) -> tuple[int, dict, bytes]:
-    """Reads one whole reply.
-
-    >>> read_reply.__name__
-    'read_reply'
-    """
+    """Reads one whole reply."""
     response, body, size = None, [], 0
     while True:
         event = machine.next_event()
@@ -208,7 +220,9 @@
                 raise OSError("the reply is too large")
             body.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in response.headers}
+            headers = {
+                name.decode("latin-1"): value.decode("latin-1") for name, value in response.headers
+            }
             return response.status_code, headers, b"".join(body)
         elif isinstance(event, h11.ConnectionClosed):
             return 0, {}, b""
--- a/sumacloom/common/lines.py
+++ b/sumacloom/common/lines.py
@@ -13,7 +13,7 @@
     ['QUIT']
     """
 
-    __slots__ = ("rest", "limit", "overflow")
+    __slots__ = ("limit", "overflow", "rest")
 
     def __init__(self, limit: int = LIMIT):
         self.rest = b""
--- a/sumacloom/common/logs.py
+++ b/sumacloom/common/logs.py
@@ -1,4 +1,5 @@
 """JSON logs: short sentences, a fixed prefix for each part."""
+
 import logging
 import sys
 
@@ -11,7 +12,9 @@
     >>> start_logs("INFO", "edge-1")
     """
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(JsonFormatter("%(asctime)s %(levelname)s %(message)s", static_fields={"node": node}))
+    handler.setFormatter(
+        JsonFormatter("%(asctime)s %(levelname)s %(message)s", static_fields={"node": node})
+    )
     root = logging.getLogger("sumacloom")
     root.handlers[:] = [handler]
     root.setLevel(level)
--- a/sumacloom/common/results.py
+++ b/sumacloom/common/results.py
@@ -1,4 +1,5 @@
 """Numbered result codes; docs/results.md holds the same table."""
+
 from typing import NamedTuple
 
 from result import Err, Ok, Result  # noqa: F401  (the one place that names the library)
@@ -44,12 +45,22 @@
     "stale_match": (1202, 412, 5, "another generation is current"),
     "nothing_to_undo": (1203, 409, 5, "nothing is kept to go back to"),
     "no_majority": (1301, 503, 6, "no majority of the registrars answered in time"),
-    "out_of_touch": (1310, 503, 6, "this registrar hears no majority of the registrars: another may"),
+    "out_of_touch": (
+        1310,
+        503,
+        6,
+        "this registrar hears no majority of the registrars: another may",
+    ),
     "own_view": (1311, 0, 7, "what is shown is one registrar's own view"),
     "rejoining": (1302, 503, 6, "this registrar is still learning its state"),
     "forgotten": (1312, 503, 6, "it is not known any more whether this order was taken"),
     "caller_gone": (1313, 503, 6, "the caller had gone before its order was proposed"),
-    "stood_still": (1314, 503, 6, "this registrar has just stood still, and can't tell how old the order is"),
+    "stood_still": (
+        1314,
+        503,
+        6,
+        "this registrar has just stood still, and can't tell how old the order is",
+    ),
     "unreachable": (1303, 0, 6, "no registrar could be reached"),
     "garbled": (1304, 0, 6, "a daemon answered garbage"),
     "bad_request": (1400, 400, 4, "the request can't be read"),
--- a/sumacloom/common/settings.py
+++ b/sumacloom/common/settings.py
@@ -1,4 +1,5 @@
 """The settings file: read, checked, unknown fields ignored."""
+
 import os
 import tomllib
 
@@ -47,7 +48,7 @@
     evac_ms: float = 5000
     heal_s: float = 12
     fencing: bool = True
-    lease_ms: float = 0          # the pages name no figure; taken where one is given
+    lease_ms: float = 0  # the pages name no figure; taken where one is given
     thaw_ms: float = 300
 
 
@@ -74,12 +75,16 @@
     """How pool modes are judged from what sessions do; ours, and open to change."""
 
     on: bool = True
-    relax_requests: int = 50     # seen here before a database is judged `statement`
-    relax_s: float = 10.0        # and over so long; doubled each time that the judgement was taken back
-    relax_share: float = 0.15    # at most so many of them with a transaction, a value or a prepared name
-    tighten_share: float = 0.3   # from so many on it is judged `transaction` again
-    session_requests: int = 8    # a session that was tightened is packed again after so many plain requests
-    session_s: float = 5.0       # and so long
+    relax_requests: int = 50  # seen here before a database is judged `statement`
+    relax_s: float = 10.0  # and over so long; doubled each time that the judgement was taken back
+    relax_share: float = (
+        0.15  # at most so many of them with a transaction, a value or a prepared name
+    )
+    tighten_share: float = 0.3  # from so many on it is judged `transaction` again
+    session_requests: int = (
+        8  # a session that was tightened is packed again after so many plain requests
+    )
+    session_s: float = 5.0  # and so long
 
 
 class Settings(msgspec.Struct, rename="camel"):
@@ -130,7 +135,9 @@
     """
     try:
         found = tomllib.loads(text)
-        if isinstance(found.get("bounds"), dict) and "lease_ms" in found["bounds"]:     # as the rules spell it
+        if (
+            isinstance(found.get("bounds"), dict) and "lease_ms" in found["bounds"]
+        ):  # as the rules spell it
             found["bounds"].setdefault("leaseMs", found["bounds"]["lease_ms"])
         settings = msgspec.convert(found, Settings)
     except tomllib.TOMLDecodeError as error:
@@ -150,15 +157,25 @@
     if role == "registrar" and not settings.datadir:
         return Err(mishap("deploy_invalid", "a registrar needs a datadir"))
     if role == "registrar" and settings.bootstrap and not settings.seeds:
-        return Err(mishap("deploy_invalid", "a registrar's first start (bootstrap) needs seeds: they are the first voters"))
+        return Err(
+            mishap(
+                "deploy_invalid",
+                "a registrar's first start (bootstrap) needs seeds: they are the first voters",
+            )
+        )
     if settings.log_level not in ("DEBUG", "INFO", "WARNING", "ERROR"):
         return Err(mishap("settings_invalid", "logLevel must be DEBUG, INFO, WARNING or ERROR"))
     if not 0 < settings.health.soft_lag_ms <= settings.health.hard_lag_ms:
         return Err(mishap("settings_invalid", "health: 0 < softLagMs <= hardLagMs must hold"))
     pooling = settings.pooling
     if not 0 <= pooling.relax_share < pooling.tighten_share <= 1:
-        return Err(mishap("settings_invalid", "pooling: 0 <= relaxShare < tightenShare <= 1 must hold"))
-    if min(pooling.relax_requests, pooling.session_requests) < 1 or min(pooling.relax_s, pooling.session_s) < 0:
+        return Err(
+            mishap("settings_invalid", "pooling: 0 <= relaxShare < tightenShare <= 1 must hold")
+        )
+    if (
+        min(pooling.relax_requests, pooling.session_requests) < 1
+        or min(pooling.relax_s, pooling.session_s) < 0
+    ):
         return Err(mishap("settings_invalid", "pooling: requests must be above 0, times not below"))
     return Ok(settings)
 
--- a/sumacloom/common/signals.py
+++ b/sumacloom/common/signals.py
@@ -1,4 +1,5 @@
 """Signals as flags that the clock looks at; a handler itself does nothing else."""
+
 import signal
 
 
@@ -13,11 +14,7 @@
         self.ending = self.hangup = False
 
     def listen(self) -> "Signals":
-        """Installs the handlers.
-
-        >>> Signals.listen.__name__
-        'listen'
-        """
+        """Installs the handlers."""
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             signal.signal(number, self.raise_flag)
         return self
--- a/sumacloom/common/types.py
+++ b/sumacloom/common/types.py
@@ -1,11 +1,12 @@
 """Small value types: ids, generations, positions, ballots and times."""
+
 from typing import NamedTuple, NewType
 
 BackendId = NewType("BackendId", str)
 ServiceName = NewType("ServiceName", str)
 NodeName = NewType("NodeName", str)
 Generation = NewType("Generation", int)
-Moment = NewType("Moment", float)      # seconds on the steady clock
+Moment = NewType("Moment", float)  # seconds on the steady clock
 Milliseconds = NewType("Milliseconds", float)
 
 
--- a/sumacloom/counter/anchors.py
+++ b/sumacloom/counter/anchors.py
@@ -1,4 +1,5 @@
 """Anchors: positions read from a backend proven to lead, dated by the moment of asking."""
+
 from collections import deque
 
 from ..common.types import Position
--- a/sumacloom/counter/errand.py
+++ b/sumacloom/counter/errand.py
@@ -1,4 +1,5 @@
 """An errand: one statement on its way to a backend and back."""
+
 from .rules import FALLBACK, PLANS
 
 
@@ -11,8 +12,25 @@
     """
 
     __slots__ = (
-        "session", "statement", "rule", "plan_name", "received", "cutoff", "hold_until", "stage", "wire",
-        "pause_until", "sends", "pending", "transaction", "refusal", "ran_at", "needed", "lane", "intent", "packed",
+        "cutoff",
+        "hold_until",
+        "intent",
+        "lane",
+        "needed",
+        "packed",
+        "pause_until",
+        "pending",
+        "plan_name",
+        "ran_at",
+        "received",
+        "refusal",
+        "rule",
+        "sends",
+        "session",
+        "stage",
+        "statement",
+        "transaction",
+        "wire",
     )
 
     def __init__(self, session, statement, rule, plan_name: str, now: float, transaction):
@@ -31,7 +49,9 @@
         self.ran_at = 0.0
         self.needed = None
         self.lane = False
-        self.packed = session.mode == "statement" and transaction is None     # it shares wires by the statement
+        self.packed = (
+            session.mode == "statement" and transaction is None
+        )  # it shares wires by the statement
         self.intent = None
 
     @property
@@ -45,27 +65,15 @@
 
     @property
     def only_reads(self) -> bool:
-        """Whether sending it twice changes nothing.
-
-        >>> Errand.only_reads.fget.__name__
-        'only_reads'
-        """
+        """Whether sending it twice changes nothing."""
         return self.statement.sort == "read"
 
     def order(self) -> tuple:
-        """Its place in a waitlist: the priority lane first, then priority, then cutoff.
-
-        >>> Errand.order.__name__
-        'order'
-        """
+        """Its place in a waitlist: the priority lane first, then priority, then cutoff."""
         return (not self.lane, self.rule.priority, self.cutoff)
 
     def kind(self) -> tuple:
-        """What decides which wires it may have: all of one kind find the same ones.
-
-        >>> Errand.kind.__name__
-        'kind'
-        """
+        """What decides which wires it may have: all of one kind find the same ones."""
         return (self.plan[0], id(self.rule), self.lane, self.packed, self.transaction is None)
 
     def fall_back(self) -> bool:
--- a/sumacloom/counter/floor.py
+++ b/sumacloom/counter/floor.py
@@ -3,6 +3,7 @@
 Inputs are the methods; what is to be sent, shut or dialled gathers in `effects`:
 ("send", key, bytes), ("shut", key), ("dial", key, host, port).
 """
+
 from bisect import insort
 
 from ..charts import load_chart
@@ -23,6 +24,7 @@
 scribe = Scribe("floor")
 LEAVING = load_chart("leaving")
 
+
 class Floor:
     """All sessions and wires of one counter."""
 
@@ -74,7 +76,12 @@
         >>> Floor(Settings("n", "r", "10.0.0.1", "z")).ready
         False
         """
-        return self.leaving == LEAVING.start and self.rules is not None and bool(self.yard.backends) and not self.unsure
+        return (
+            self.leaving == LEAVING.start
+            and self.rules is not None
+            and bool(self.yard.backends)
+            and not self.unsure
+        )
 
     def take_lanes(self, databases: list[str], sure: bool, used: bool, now: float) -> None:
         """Takes the priority lanes in force, and whether we may rely on them.
@@ -89,7 +96,9 @@
             scribe.say("the priority lane holds: %s", ", ".join(databases) or "nothing")
         unsure = used and not sure
         if unsure and not self.unsure:
-            scribe.say("no settled registrar is heard: not ready, since what is held here may be old")
+            scribe.say(
+                "no settled registrar is heard: not ready, since what is held here may be old"
+            )
         self.unsure = unsure
         if unsure:
             moves.close_idle(self, now)
@@ -228,17 +237,15 @@
 
     # ------------------------------------------------------------ errands
     def submit(self, session: Session, statement, plan: str, now: float) -> None:
-        """Sends a statement on its way: on its transaction's wire, or into the waitlist.
-
-        >>> Floor.submit.__name__
-        'submit'
-        """
+        """Sends a statement on its way: on its transaction's wire, or into the waitlist."""
         transaction = session.transaction
         rule = transaction.rule if transaction else self.rules.get(session.database)
         if rule is None:
             self.reply(session, ["ERR NODB the database is no longer there"], now)
             return
-        errand = Errand(session, statement, rule, plan or rule.plans[statement.sort], now, transaction)
+        errand = Errand(
+            session, statement, rule, plan or rule.plans[statement.sort], now, transaction
+        )
         if self.unsure and self.blueprint.limits.guarded and not (transaction and transaction.wire):
             moves.refuse(self, errand, now)
             return
@@ -251,22 +258,14 @@
             self.enlist(errand, now)
 
     def enlist(self, errand: Errand, now: float) -> None:
-        """Puts an errand into its service's waitlist, and tries at once.
-
-        >>> Floor.enlist.__name__
-        'enlist'
-        """
+        """Puts an errand into its service's waitlist, and tries at once."""
         errand.stage, errand.wire = "waiting", None
         waitlist = self.waitlists.setdefault(errand.rule.service, [])
         insort(waitlist, errand, key=Errand.order)
         self.pump(errand.rule.service, now)
 
     def end_errand(self, errand: Errand) -> None:
-        """The errand is over, whatever its end.
-
-        >>> Floor.end_errand.__name__
-        'end_errand'
-        """
+        """The errand is over, whatever its end."""
         judge(self, errand)
         errand.stage = "done"
         self.active.discard(errand)
@@ -284,8 +283,10 @@
         full = set()
         waiting, waitlist[:] = list(waitlist), []
         kept = [
-            errand for errand in waiting
-            if errand.stage == "waiting" and (now < errand.pause_until or not self.place(errand, full, len(waiting), now))
+            errand
+            for errand in waiting
+            if errand.stage == "waiting"
+            and (now < errand.pause_until or not self.place(errand, full, len(waiting), now))
         ]
         waitlist[:] = sorted(kept + waitlist, key=Errand.order) if waitlist else kept
 
@@ -293,9 +294,6 @@
         """Walks the plan's first step: draws a backend and a wire, and starts the errand on it.
 
         What found no wire is not looked for again in the same round: a long waitlist would else cost its square.
-
-        >>> Floor.place.__name__
-        'place'
         """
         yard, kind = self.yard, errand.kind()
         if kind in full:
@@ -313,7 +311,7 @@
             backends = yard.lead_candidates(ground, errand.rule, now)[:1]
             alive = backends and (backends[0].idle or backends[0].dark_since is None)
             ground.headless_since = None if alive else ground.headless_since or now
-        held = False                                   # a wire is there, but not for this one
+        held = False  # a wire is there, but not for this one
         for backend in backends:
             if backend.name in full:
                 continue
@@ -329,18 +327,14 @@
                 continue
             self.start_on(errand, wire, now)
             return True
-        for backend in backends[:not held]:
+        for backend in backends[: not held]:
             full.add(backend.name)
         if backends and (held or backends[0].dialing >= waiting or not self.dial(backends[0], now)):
             full.add(kind)
         return False
 
     def dial(self, backend, now: float) -> bool:
-        """Opens one more wire to a backend, if it may have one; tells whether it may.
-
-        >>> Floor.dial.__name__
-        'dial'
-        """
+        """Opens one more wire to a backend, if it may have one; tells whether it may."""
         wire = self.yard.new_wire(backend, now)
         if wire:
             self.wires[wire.key] = wire
@@ -348,11 +342,7 @@
         return wire is not None
 
     def start_on(self, errand: Errand, wire, now: float) -> None:
-        """Puts the session's values and names in place on the wire, opens what the plan opens, or runs.
-
-        >>> Floor.start_on.__name__
-        'start_on'
-        """
+        """Puts the session's values and names in place on the wire, opens what the plan opens, or runs."""
         session, transaction = errand.session, errand.transaction
         bound = transaction is not None and transaction.wire is wire
         errand.wire, errand.sends = wire, errand.sends + (not bound)
@@ -378,11 +368,7 @@
         self.effects.append(("send", wire.key, data))
 
     def run(self, errand: Errand, now: float) -> None:
-        """Sends the statement itself, and the end behind it where the plan has one.
-
-        >>> Floor.run.__name__
-        'run'
-        """
+        """Sends the statement itself, and the end behind it where the plan has one."""
         if outcomes.emptied(self, errand, now) or holds_back(self, errand, now):
             return
         wire, statement = errand.wire, errand.statement
--- a/sumacloom/counter/gate.py
+++ b/sumacloom/counter/gate.py
@@ -3,15 +3,16 @@
 A list is offered for longer than any lease before it comes into force, and a lease runs from a stamp of this
 counter's own clock that a registrar confirmed by a reading at a majority. So whoever still serves holds the newest.
 """
+
 from ..common.access import Access
 from ..common.blueprint import unpack_blueprint
 from ..common.logs import Scribe
 from ..courier.news import AccessNews
 
 scribe = Scribe("gate")
-LEASE_S = 3.0                    # shorter than the registrars' ENFORCE_S
+LEASE_S = 3.0  # shorter than the registrars' ENFORCE_S
 LATER = "ERR BUSY not run, the access list is not confirmed; come back in 200 ms"
-LOGIN, REQUEST = 0, 2            # places in a count: logins allowed and denied, requests allowed and denied
+LOGIN, REQUEST = 0, 2  # places in a count: logins allowed and denied, requests allowed and denied
 
 
 class Lease:
@@ -24,7 +25,7 @@
     """
 
     def __init__(self):
-        self.heard = 0           # the newest stage that a registrar told of
+        self.heard = 0  # the newest stage that a registrar told of
         self.until = None
 
     def hear(self, told: int, board: int, confirmed: float | None, now: float) -> None:
@@ -35,7 +36,9 @@
         """
         self.heard = max(self.heard, told)
         if self.until is None and max(self.heard, board):
-            first = max(self.heard, board) == 2      # the first list ever, offered: none is in force yet
+            first = (
+                max(self.heard, board) == 2
+            )  # the first list ever, offered: none is in force yet
             self.until = now + LEASE_S if first else -1e9
         if confirmed is not None and board >= told:
             self.until = max(self.until, confirmed + LEASE_S)
@@ -55,7 +58,9 @@
     def __init__(self):
         self.access: Access | None = None
         self.lapsed = self.closing = False
-        self.counts: dict[int, dict[str, list[int]]] = {}    # generation: rule: counts, of two generations
+        self.counts: dict[
+            int, dict[str, list[int]]
+        ] = {}  # generation: rule: counts, of two generations
 
     def take(self, news: AccessNews) -> bool:
         """Takes the list in force; tells whether it is another one.
@@ -68,8 +73,12 @@
         self.access = Access(unpack_blueprint(news.body), news.generation)
         kept = [*self.counts, news.generation][-2:]
         self.counts = {generation: self.counts.get(generation, {}) for generation in kept}
-        scribe.say("the access list %d is in force: %d rules, else %s", news.generation, len(self.access.rules),
-                   self.access.default)
+        scribe.say(
+            "the access list %d is in force: %d rules, else %s",
+            news.generation,
+            len(self.access.rules),
+            self.access.default,
+        )
         return True
 
     def denies(self, session, database: str, place: int) -> str:
@@ -95,11 +104,7 @@
         return f"ERR DENIED by the rule {verdict.rule}: {database} is not for the region {verdict.region}"
 
     def verdict(self, session, database: str):
-        """The list's verdict on a session; its region is looked up once for each list.
-
-        >>> Gate.verdict.__name__
-        'verdict'
-        """
+        """The list's verdict on a session; its region is looked up once for each list."""
         generation = self.access.generation
         if session.region is None or session.region[0] != generation:
             session.region = (generation, self.access.region(session.address))
@@ -114,27 +119,39 @@
         names = [rule.name for rule in self.access.rules] + ["default"] if self.access else []
         zero = {self.access.generation: dict.fromkeys(names, (0, 0, 0, 0))} if self.access else {}
         return [
-            {"node": node, "generation": generation, "rule": rule, "logins_allowed": logins, "logins_denied": turned,
-             "requests_allowed": allowed, "requests_denied": denied}
+            {
+                "node": node,
+                "generation": generation,
+                "rule": rule,
+                "logins_allowed": logins,
+                "logins_denied": turned,
+                "requests_allowed": allowed,
+                "requests_denied": denied,
+            }
             for generation, found in self.counts.items()
-            for rule, (logins, turned, allowed, denied) in {**zero.get(generation, {}), **found}.items()
+            for rule, (logins, turned, allowed, denied) in {
+                **zero.get(generation, {}),
+                **found,
+            }.items()
         ]
 
 
 def take_access(floor, news: AccessNews, lapsed: bool, now: float) -> None:
-    """Takes the list in force and whether it may be relied on; sessions at rest that are now denied are closed.
-
-    >>> take_access.__name__
-    'take_access'
-    """
+    """Takes the list in force and whether it may be relied on; sessions at rest that are now denied are closed."""
     gate = floor.gate
     if lapsed != gate.lapsed:
         gate.lapsed = lapsed
-        scribe.say("no registrar confirms the access list: nothing new is taken" if lapsed else
-                   "the access list is confirmed again")
+        scribe.say(
+            "no registrar confirms the access list: nothing new is taken"
+            if lapsed
+            else "the access list is confirmed again"
+        )
     if gate.take(news) or gate.closing:
-        denied = [session for session in floor.sessions.values()
-                  if session.database and not gate.verdict(session, session.database).allowed]
+        denied = [
+            session
+            for session in floor.sessions.values()
+            if session.database and not gate.verdict(session, session.database).allowed
+        ]
         gate.closing = bool(denied)
         for session in denied:
             if session.state == "I" and session.errand is None and not session.waiting:
--- a/sumacloom/counter/ground.py
+++ b/sumacloom/counter/ground.py
@@ -1,4 +1,5 @@
 """One backend and one service, as a counter sees them."""
+
 from ..common.types import ORIGIN
 from .anchors import Anchors
 from .rotation import Rotation
@@ -10,9 +11,31 @@
     """One backend: what its beats say, its wires, and how it has behaved here."""
 
     __slots__ = (
-        "name", "service", "host", "port", "zone", "region", "phase", "role", "slots", "order", "cold_until",
-        "wires", "idle", "dialing", "backoff", "barred_until", "refused_at", "claimed_at", "closing_at",
-        "tokens", "tokens_at", "dark_since", "crowded_until", "shy_until", "packed_at",
+        "backoff",
+        "barred_until",
+        "claimed_at",
+        "closing_at",
+        "cold_until",
+        "crowded_until",
+        "dark_since",
+        "dialing",
+        "host",
+        "idle",
+        "name",
+        "order",
+        "packed_at",
+        "phase",
+        "port",
+        "refused_at",
+        "region",
+        "role",
+        "service",
+        "shy_until",
+        "slots",
+        "tokens",
+        "tokens_at",
+        "wires",
+        "zone",
     )
 
     def __init__(self, name: str, service: str):
@@ -28,14 +51,27 @@
         self.cold_until = 0.0
         self.dark_since = None
         self.crowded_until = self.packed_at = -1e9
-        self.shy_until = -1e9        # it failed or shed a statement of ours: reads go elsewhere first
+        self.shy_until = -1e9  # it failed or shed a statement of ours: reads go elsewhere first
 
 
 class Ground:
     """One service: its backends, rotation and anchors."""
 
-    __slots__ = ("name", "backends", "rotation", "anchors", "seeking", "swept_at", "lead_seen", "lead_name",
-                 "headless_since", "read_at", "pending_until", "resends", "resends_at")
+    __slots__ = (
+        "anchors",
+        "backends",
+        "headless_since",
+        "lead_name",
+        "lead_seen",
+        "name",
+        "pending_until",
+        "read_at",
+        "resends",
+        "resends_at",
+        "rotation",
+        "seeking",
+        "swept_at",
+    )
 
     def __init__(self, name: str, health, turn: float):
         self.name = name
--- a/sumacloom/counter/losses.py
+++ b/sumacloom/counter/losses.py
@@ -1,4 +1,5 @@
 """What follows when a wire is lost: resent where that is safe, else the truth about what may have run."""
+
 from .errand import Errand
 from .moves import drop, fail_transaction, finish, refuse
 from .session import Transaction
@@ -7,18 +8,22 @@
 
 
 def wire_lost(floor, wire, why: str, now: float, report: bool = True) -> None:
-    """A wire is gone: its errand is sent again, or told the truth about what may have run.
-
-    >>> wire_lost.__name__
-    'wire_lost'
-    """
+    """A wire is gone: its errand is sent again, or told the truth about what may have run."""
     if wire.key not in floor.wires:
         return
     was_idle = wire.open and wire.owner is None and not wire.expected
     drop(floor, wire)
     backend = floor.yard.backends.get(wire.backend)
-    if backend and report and wire.login_sent and not wire.open and any(other.open for other in backend.wires.values()):
-        floor.yard.note_crowd(backend, now)     # it took the connection and ended it, while others stand
+    if (
+        backend
+        and report
+        and wire.login_sent
+        and not wire.open
+        and any(other.open for other in backend.wires.values())
+    ):
+        floor.yard.note_crowd(
+            backend, now
+        )  # it took the connection and ended it, while others stand
     elif backend and report and not was_idle:
         floor.yard.note_mishap(backend, now)
         floor.mishaps.append(wire.backend)
@@ -31,11 +36,7 @@
 
 
 def backend_silent(floor, wire, why: str, now: float) -> None:
-    """A wire left our own texts unanswered: the backend is dark, and its idle wires are no better.
-
-    >>> backend_silent.__name__
-    'backend_silent'
-    """
+    """A wire left our own texts unanswered: the backend is dark, and its idle wires are no better."""
     backend = floor.yard.backends.get(wire.backend)
     for idle in list(backend.idle) if backend else []:
         drop(floor, idle)
@@ -43,11 +44,7 @@
 
 
 def errand_lost(floor, errand, now: float, doubtful: bool = False) -> None:
-    """The wire of an errand is gone; doubtful says that its backend no longer knew of the transaction.
-
-    >>> errand_lost.__name__
-    'errand_lost'
-    """
+    """The wire of an errand is gone; doubtful says that its backend no longer knew of the transaction."""
     transaction, stage = errand.transaction, errand.stage
     errand.wire = None
     if transaction:
@@ -69,11 +66,7 @@
 
 
 def tell_truth(floor, errand, now: float) -> None:
-    """The final word on an errand outside a living transaction: a promise only if nothing ran.
-
-    >>> tell_truth.__name__
-    'tell_truth'
-    """
+    """The final word on an errand outside a living transaction: a promise only if nothing ran."""
     if errand.stage != "run":
         refuse(floor, errand, now)
     elif errand.only_reads:
@@ -84,11 +77,7 @@
 
 
 def errand_ended(floor, errand, now: float) -> None:
-    """This process is about to end: nothing asked stays without a word.
-
-    >>> errand_ended.__name__
-    'errand_ended'
-    """
+    """This process is about to end: nothing asked stays without a word."""
     if errand.transaction and not (errand.statement.sort == "commit" and errand.stage == "run"):
         fail_transaction(floor, errand, "ROLLEDBACK", now)
     else:
--- a/sumacloom/counter/moves.py
+++ b/sumacloom/counter/moves.py
@@ -1,24 +1,17 @@
 """The moves that results and losses share: freeing a wire, finishing an errand, failing a transaction."""
+
 from . import spooling
 
 
 def release(floor, wire, now: float, touched: bool = False) -> None:
-    """Frees a wire from its errand or transaction.
-
-    >>> release.__name__
-    'release'
-    """
+    """Frees a wire from its errand or transaction."""
     wire.owner = None
     wire.dirty = wire.dirty or touched
     settle(floor, wire, now)
 
 
 def settle(floor, wire, now: float) -> None:
-    """A wire with nothing outstanding is rolled back if need be, else idle for the next.
-
-    >>> settle.__name__
-    'settle'
-    """
+    """A wire with nothing outstanding is rolled back if need be, else idle for the next."""
     if wire.owner is not None or wire.expected or wire.lost or wire.key not in floor.wires:
         return
     if wire.state != "I":
@@ -35,11 +28,7 @@
 
 
 def drop(floor, wire) -> None:
-    """Closes a wire and forgets it.
-
-    >>> drop.__name__
-    'drop'
-    """
+    """Closes a wire and forgets it."""
     wire.lost = True
     if floor.wires.pop(wire.key, None) is None:
         return
@@ -52,21 +41,13 @@
 
 
 def judge(floor, errand, lines: list[str]) -> None:
-    """The verdict on a write that is listened to, if it is one.
-
-    >>> judge.__name__
-    'judge'
-    """
+    """The verdict on a write that is listened to, if it is one."""
     if errand.intent:
         spooling.judge(floor, errand, lines)
 
 
 def finish(floor, errand, lines: list[str], now: float, position=None) -> None:
-    """The client's reply; what it sent meanwhile follows.
-
-    >>> finish.__name__
-    'finish'
-    """
+    """The client's reply; what it sent meanwhile follows."""
     judge(floor, errand, lines)
     floor.end_errand(errand)
     floor.reply(errand.session, lines, now, position)
@@ -74,11 +55,7 @@
 
 
 def fail_transaction(floor, errand, code: str, now: float) -> None:
-    """Ends a transaction whose COMMIT was never sent: nothing of it is kept.
-
-    >>> fail_transaction.__name__
-    'fail_transaction'
-    """
+    """Ends a transaction whose COMMIT was never sent: nothing of it is kept."""
     transaction, wire, session = errand.transaction, errand.wire, errand.session
     transaction.failed, transaction.wire = "told", None
     if errand.statement.sort == "commit":
@@ -102,11 +79,7 @@
 
 
 def refuse(floor, errand, now: float) -> None:
-    """Gives up an errand that has not run: a promise, and when to come back.
-
-    >>> refuse.__name__
-    'refuse'
-    """
+    """Gives up an errand that has not run: a promise, and when to come back."""
     if errand.transaction:
         fail_transaction(floor, errand, "BUSY", now)
     else:
@@ -114,11 +87,7 @@
 
 
 def draw_again(floor, now: float) -> None:
-    """Another blueprint: single statements not yet sent go by its rules; a transaction ends by those it began with.
-
-    >>> draw_again.__name__
-    'draw_again'
-    """
+    """Another blueprint: single statements not yet sent go by its rules; a transaction ends by those it began with."""
     waiting = [errand for waitlist in floor.waitlists.values() for errand in waitlist]
     for errand in waiting:
         rule = floor.rules.get(errand.session.database)
@@ -137,9 +106,6 @@
     """The client sends no more, but may still read: what it asked is answered, then the session ends.
 
     What waits for a wire is refused at once: most that end here have left.
-
-    >>> session_ended.__name__
-    'session_ended'
     """
     session = floor.sessions.get(key)
     if session is None:
@@ -152,11 +118,7 @@
 
 
 def close_idle(floor, now: float) -> None:
-    """Closes the sessions at rest, which a client does not take for a mishap.
-
-    >>> close_idle.__name__
-    'close_idle'
-    """
+    """Closes the sessions at rest, which a client does not take for a mishap."""
     for session in list(floor.sessions.values()):
         resting = session.state == "I" and session.errand is None and not session.waiting
         if session.database and resting:
--- a/sumacloom/counter/outcomes.py
+++ b/sumacloom/counter/outcomes.py
@@ -3,6 +3,7 @@
 A statement that was certainly not run may go out again; a read may; a write or COMMIT that may
 have reached its backend never does. Promises are made only where they are certainly true.
 """
+
 from ..common.logs import Scribe
 from ..common.types import ORIGIN
 from .errand import Errand
@@ -13,7 +14,7 @@
 scribe = Scribe("wires")
 NOT_RUN = frozenset({"BUSY", "NOSUCH", "LAGGING", "RO", "WRONGHOST", "MAXCONN"})
 BUSY_PAUSE_S = 0.03
-SHY_S = {"BUSY": 0.1, "FAIL": 1.5}       # how long reads prefer another backend after that answer
+SHY_S = {"BUSY": 0.1, "FAIL": 1.5}  # how long reads prefer another backend after that answer
 STRUGGLING = frozenset(SHY_S)
 BARRED_S = 0.5
 ANCHOR_SLACK_S = 0.02
@@ -27,18 +28,16 @@
     >>> "login" in RESULTS
     True
     """
+
     def register(function):
         RESULTS[tag] = function
         return function
+
     return register
 
 
 def wire_data(floor, key, data: bytes, now: float) -> None:
-    """Bytes of a backend.
-
-    >>> wire_data.__name__
-    'wire_data'
-    """
+    """Bytes of a backend."""
     wire = floor.wires.get(key)
     if wire is None:
         return
@@ -51,11 +50,7 @@
 
 
 def observe(floor, wire, result, now: float):
-    """Takes the position that every READY shows; gives the backend.
-
-    >>> observe.__name__
-    'observe'
-    """
+    """Takes the position that every READY shows; gives the backend."""
     backend = floor.yard.backends.get(wire.backend)
     if backend and result.position and backend.role != "primary":
         floor.yard.ground(backend.service).rotation.see(backend.name, result.position, now)
@@ -105,13 +100,9 @@
 
 
 def setup_step(floor, errand, now: float) -> None:
-    """One text less to wait for; with the last, the statement goes out.
-
-    >>> setup_step.__name__
-    'setup_step'
-    """
+    """One text less to wait for; with the last, the statement goes out."""
     errand.pending -= 1
-    if errand.pending or errand.wire.lost:           # lost: something more came behind, out of turn
+    if errand.pending or errand.wire.lost:  # lost: something more came behind, out of turn
         return
     if errand.session.closed:
         floor.end_errand(errand)
@@ -143,24 +134,18 @@
 
 
 def setup_mishap(floor, errand, result, now: float) -> None:
-    """The wire could not be prepared; nothing of the client's has run.
-
-    >>> setup_mishap.__name__
-    'setup_mishap'
-    """
+    """The wire could not be prepared; nothing of the client's has run."""
     wire, transaction = errand.wire, errand.transaction
     if transaction and transaction.wire is wire and transaction.ran:
-        fail_transaction(floor, errand, result.code if result.code in NOT_RUN else "ROLLEDBACK", now)
+        fail_transaction(
+            floor, errand, result.code if result.code in NOT_RUN else "ROLLEDBACK", now
+        )
         return
     requeue(floor, errand, result.code, now)
 
 
 def requeue(floor, errand, code: str, now: float) -> None:
-    """Back to the waitlist after a send that did not run, its wire freed.
-
-    >>> requeue.__name__
-    'requeue'
-    """
+    """Back to the waitlist after a send that did not run, its wire freed."""
     wire, transaction = errand.wire, errand.transaction
     backend = floor.yard.backends.get(wire.backend)
     if transaction:
@@ -187,11 +172,7 @@
 
 
 def emptied(floor, errand, now: float) -> bool:
-    """Whether the zone of the errand's backend is closed by now; if so it is taken back before anything is sent.
-
-    >>> emptied.__name__
-    'emptied'
-    """
+    """Whether the zone of the errand's backend is closed by now; if so it is taken back before anything is sent."""
     wire, transaction = errand.wire, errand.transaction
     backend = floor.yard.backends.get(wire.backend)
     if backend is None or not floor.yard.zone_closed(backend, now):
@@ -230,13 +211,11 @@
 
 
 def single_result(floor, errand, result, now: float) -> None:
-    """A single statement's result: told to the client, or sent again where that is safe.
-
-    >>> single_result.__name__
-    'single_result'
-    """
+    """A single statement's result: told to the client, or sent again where that is safe."""
     code = result.code
-    again = code in NOT_RUN or (code == "FAIL" and errand.only_reads and errand.sends < MOST_READ_SENDS)
+    again = code in NOT_RUN or (
+        code == "FAIL" and errand.only_reads and errand.sends < MOST_READ_SENDS
+    )
     if again and now < errand.hold_until and may_go_again(floor, errand, code, now):
         requeue(floor, errand, code, now)
         return
@@ -259,16 +238,22 @@
 
 
 def transaction_result(floor, errand, result, now: float) -> None:
-    """The result of a statement or COMMIT inside a transaction.
-
-    >>> transaction_result.__name__
-    'transaction_result'
-    """
+    """The result of a statement or COMMIT inside a transaction."""
     transaction, wire, code = errand.transaction, errand.wire, result.code
     lines = [*result.rows, result.line]
-    if code == "BUSY" and result.state == "T" and now < errand.cutoff and may_go_again(floor, errand, code, now):
+    if (
+        code == "BUSY"
+        and result.state == "T"
+        and now < errand.cutoff
+        and may_go_again(floor, errand, code, now)
+    ):
         errand.stage, errand.pause_until = "paused", now + BUSY_PAUSE_S
-    elif code in NOT_RUN and not transaction.ran and now < errand.hold_until and may_go_again(floor, errand, code, now):
+    elif (
+        code in NOT_RUN
+        and not transaction.ran
+        and now < errand.hold_until
+        and may_go_again(floor, errand, code, now)
+    ):
         requeue(floor, errand, code, now)
     elif errand.statement.sort == "commit":
         if not code and transaction.mode == "begin":
@@ -318,12 +303,10 @@
 
 
 def needed(floor, errand, ground, now: float):
-    """The position a replica must hold for this read; None while an anchor is sought.
-
-    >>> needed.__name__
-    'needed'
-    """
-    anchor = ground.anchors.at_least(errand.received - max(0.0, errand.rule.stale_s - ANCHOR_SLACK_S))
+    """The position a replica must hold for this read; None while an anchor is sought."""
+    anchor = ground.anchors.at_least(
+        errand.received - max(0.0, errand.rule.stale_s - ANCHOR_SLACK_S)
+    )
     if anchor is None:
         seek_anchor(floor, ground, now)
         return None
@@ -331,11 +314,7 @@
 
 
 def seek_anchor(floor, ground, now: float) -> None:
-    """Asks the lead for a position when ordinary traffic gave none of late.
-
-    >>> seek_anchor.__name__
-    'seek_anchor'
-    """
+    """Asks the lead for a position when ordinary traffic gave none of late."""
     if ground.seeking is not None and now - ground.seeking < 0.5:
         return
     for backend in floor.yard.lead_candidates(ground, None, now)[:1]:
--- a/sumacloom/counter/places.py
+++ b/sumacloom/counter/places.py
@@ -1,4 +1,5 @@
 """Where the registrars are: how near each is, and which of them answers."""
+
 import curio
 
 from ..common.settings import split_address
@@ -9,11 +10,8 @@
     """The part of a counter's membership that dials registrars and other counters."""
 
     async def measure(self) -> None:
-        """Learns which registrar is nearest by the time that a connection takes.
+        """Learns which registrar is nearest by the time that a connection takes."""
 
-        >>> Places.measure.__name__
-        'measure'
-        """
         async def time_one(address):
             started = self.clock()
             try:
@@ -22,16 +20,13 @@
                 await sock.close()
             except OSError:
                 pass
+
         tasks = [await curio.spawn(time_one, address) for address in self.registrars]
         for task in tasks:
             await task.join()
 
     async def open(self, address: str) -> Link:
-        """Dials a daemon and says hello.
-
-        >>> Places.open.__name__
-        'open'
-        """
+        """Dials a daemon and says hello."""
         started = self.clock()
         sock = await dial(*split_address(address), 0.5)
         self.nearness[address] = self.clock() - started
@@ -40,13 +35,11 @@
         return link
 
     async def nearer_is_back(self) -> bool:
-        """Whether a clearly nearer registrar takes links again.
-
-        >>> Places.nearer_is_back.__name__
-        'nearer_is_back'
-        """
+        """Whether a clearly nearer registrar takes links again."""
         mine = self.nearness.get(self.attached, 1.0)
-        nearer = [address for address in self.registrars if self.nearness.get(address, 0.0) < mine / 4]
+        nearer = [
+            address for address in self.registrars if self.nearness.get(address, 0.0) < mine / 4
+        ]
         for address in nearer:
             started = self.clock()
             try:
@@ -60,11 +53,7 @@
         return False
 
     async def another_answers(self) -> bool:
-        """Whether some other registrar takes links.
-
-        >>> Places.another_answers.__name__
-        'another_answers'
-        """
+        """Whether some other registrar takes links."""
         for address in self.registrars:
             if address != self.attached:
                 try:
--- a/sumacloom/counter/pooling.py
+++ b/sumacloom/counter/pooling.py
@@ -4,6 +4,7 @@
 write is sent once. A session judged `statement` that begins a transaction, sets a value or prepares a name is in
 `transaction` mode from that message on. What a judgement changes is which sessions pack into the shared wires.
 """
+
 from collections import OrderedDict
 
 from ..common.settings import PoolSettings
@@ -11,16 +12,16 @@
 
 STATEMENT, TRANSACTION = "statement", "transaction"
 MOST_TALLIES, MOST_NAMES = 4096, 1024
-LEAST_SEEN = 20            # requests below which no share is judged
+LEAST_SEEN = 20  # requests below which no share is judged
 SAY_AGAIN_S = 3.0
-NAMED = 2                  # sessions of one name that needed transaction mode before the name is an exception
+NAMED = 2  # sessions of one name that needed transaction mode before the name is an exception
 JUDGE_S = 1.0
 
 
 class Tally:
     """What one database's sessions did here since the last judgement."""
 
-    __slots__ = ("requests", "stateful", "since")
+    __slots__ = ("requests", "since", "stateful")
 
     def __init__(self, now: float):
         self.requests = self.stateful = 0
@@ -35,7 +36,9 @@
         self.generation = 0
         self.rows: dict[str, PoolRow] = {}
         self.tallies: OrderedDict[str, Tally] = OrderedDict()
-        self.names: OrderedDict[tuple, int] = OrderedDict()      # (database, who): sessions seen to need transactions
+        self.names: OrderedDict[tuple, int] = (
+            OrderedDict()
+        )  # (database, who): sessions seen to need transactions
         self.said: dict[tuple, float] = {}
         self.judged_at = -1e9
 
@@ -58,7 +61,9 @@
         row = self.rows.get(database)
         if row is None or row.mode != STATEMENT or (not row.pinned and who in row.exceptions):
             return TRANSACTION
-        return STATEMENT if row.pinned or self.names.get((database, who), 0) < NAMED else TRANSACTION
+        return (
+            STATEMENT if row.pinned or self.names.get((database, who), 0) < NAMED else TRANSACTION
+        )
 
     def seen(self, session, stateful: bool, now: float) -> None:
         """A request or a change of a session's state; the first sign of state tightens the session at once.
@@ -89,8 +94,15 @@
             return
         session.plain += 1
         row = self.rows.get(database)
-        if (session.mode == TRANSACTION and row and row.mode == STATEMENT and not session.values and not session.names
-                and session.plain >= self.settings.session_requests and now - session.tight_at >= self.settings.session_s):
+        if (
+            session.mode == TRANSACTION
+            and row
+            and row.mode == STATEMENT
+            and not session.values
+            and not session.names
+            and session.plain >= self.settings.session_requests
+            and now - session.tight_at >= self.settings.session_s
+        ):
             session.mode = STATEMENT
 
     def minds(self, now: float) -> list[tuple[str, str, str, int]]:
@@ -102,11 +114,19 @@
         if not self.settings.on or now - self.judged_at < JUDGE_S:
             return []
         self.judged_at = now
-        found = [mind for database, tally in list(self.tallies.items())
-                 for mind in self.judge(database, tally, now)]
-        found += [(database, who, TRANSACTION, self.rows[database].since) for (database, who), times in self.names.items()
-                  if times >= NAMED and self.of(database).mode == STATEMENT and who not in self.of(database).exceptions
-                  and not self.of(database).pinned]
+        found = [
+            mind
+            for database, tally in list(self.tallies.items())
+            for mind in self.judge(database, tally, now)
+        ]
+        found += [
+            (database, who, TRANSACTION, self.rows[database].since)
+            for (database, who), times in self.names.items()
+            if times >= NAMED
+            and self.of(database).mode == STATEMENT
+            and who not in self.of(database).exceptions
+            and not self.of(database).pinned
+        ]
         fresh = [mind for mind in found if now - self.said.get(mind, -1e9) >= SAY_AGAIN_S]
         self.said = {mind: self.said[mind] for mind in found if mind in self.said}
         self.said.update(dict.fromkeys(fresh, now))
@@ -131,14 +151,20 @@
         if row.pinned or tally.requests < LEAST_SEEN:
             return []
         share = tally.stateful / tally.requests
-        long = settings.relax_s * 2 ** min(row.strikes, 10)      # each judgement taken back makes the next take longer
+        long = settings.relax_s * 2 ** min(
+            row.strikes, 10
+        )  # each judgement taken back makes the next take longer
         if row.mode == STATEMENT and share >= settings.tighten_share:
             return [(database, "", TRANSACTION, row.since)]
         if now - tally.since < long or tally.requests < settings.relax_requests:
             return []
         if row.mode == TRANSACTION and share <= settings.relax_share:
             return [(database, "", STATEMENT, row.since)]
-        tally.requests, tally.stateful, tally.since = 0, 0, now  # judged, and nothing new: a fresh window
+        tally.requests, tally.stateful, tally.since = (
+            0,
+            0,
+            now,
+        )  # judged, and nothing new: a fresh window
         return []
 
     def report(self, sessions) -> list[dict]:
@@ -153,7 +179,11 @@
                 key = (session.database, session.mode)
                 counts[key] = counts.get(key, 0) + 1
         return [
-            {"database": database, "mode": self.of(database).mode, "statement_sessions": counts.get((database, STATEMENT), 0),
-             "transaction_sessions": counts.get((database, TRANSACTION), 0)}
+            {
+                "database": database,
+                "mode": self.of(database).mode,
+                "statement_sessions": counts.get((database, STATEMENT), 0),
+                "transaction_sessions": counts.get((database, TRANSACTION), 0),
+            }
             for database in sorted({*self.rows, *(database for database, _mode in counts)})
         ]
--- a/sumacloom/counter/rotation.py
+++ b/sumacloom/counter/rotation.py
@@ -3,6 +3,7 @@
 Kept per replica: last position, lag behind the freshest replica seen, when soft lag began,
 how long it has been inside the band. The chart `replica` decides; this module measures.
 """
+
 from collections import deque
 
 from ..charts import load_chart
@@ -13,14 +14,23 @@
 scribe = Scribe("rotation")
 CHART = load_chart("replica")
 TIP_STEP_S = 0.25
-SHOWN = 1.2         # sweeps: a position shown so lately, here or by way of the registrars, spares a STAT
-LEAST_SOFT, LEAST_HARD = 3, 8      # positions; the source's own figures, kept as least widths
+SHOWN = 1.2  # sweeps: a position shown so lately, here or by way of the registrars, spares a STAT
+LEAST_SOFT, LEAST_HARD = 3, 8  # positions; the source's own figures, kept as least widths
 
 
 class Replica:
     """What a counter knows of one replica's freshness."""
 
-    __slots__ = ("name", "state", "position", "lag", "seen_at", "own_at", "soft_since", "band_since")
+    __slots__ = (
+        "band_since",
+        "lag",
+        "name",
+        "own_at",
+        "position",
+        "seen_at",
+        "soft_since",
+        "state",
+    )
 
     def __init__(self, name: str):
         self.name = name
@@ -46,7 +56,9 @@
         self.tip = ORIGIN
         self.tips = deque(maxlen=32)
         self.frozen = False
-        self.turn = turn             # 0 to 1: who sweeps first differs by counter and service, and spares the rest
+        self.turn = (
+            turn  # 0 to 1: who sweeps first differs by counter and service, and spares the rest
+        )
 
     def bands(self) -> tuple[int, int]:
         """The soft and the hard width in positions, from the commit rate seen.
@@ -82,7 +94,11 @@
         if replica.seen_at is not None and now < replica.seen_at:
             return
         if position > self.tip:
-            if not self.tips or now - self.tips[-1][0] >= TIP_STEP_S or position.term != self.tip.term:
+            if (
+                not self.tips
+                or now - self.tips[-1][0] >= TIP_STEP_S
+                or position.term != self.tip.term
+            ):
                 self.tips.append((now, position))
             self.tip = position
         tip = self.tip_at(now)
@@ -98,7 +114,9 @@
                 self.apply(replica, "stayed", now)
         elif replica.lag < hard:
             self.apply(replica, "soft", now)
-            graced_out = replica.state == "lagging" and now - replica.soft_since >= self.health.grace_s
+            graced_out = (
+                replica.state == "lagging" and now - replica.soft_since >= self.health.grace_s
+            )
             if graced_out and len(self.inside()) > self.health.floor:
                 self.apply(replica, "graced_out", now)
         else:
@@ -147,7 +165,12 @@
             elif action == "mark_band":
                 replica.band_since = now
             elif action == "say_evicted":
-                scribe.say("the replica %s left the rotation (%s, %d behind)", replica.name, event, replica.lag)
+                scribe.say(
+                    "the replica %s left the rotation (%s, %d behind)",
+                    replica.name,
+                    event,
+                    replica.lag,
+                )
             elif action == "say_readmitted":
                 scribe.say("the replica %s is back in the rotation", replica.name)
 
@@ -157,7 +180,9 @@
         >>> Rotation(Health()).inside()
         []
         """
-        return [replica for replica in self.replicas.values() if replica.state in ("inside", "lagging")]
+        return [
+            replica for replica in self.replicas.values() if replica.state in ("inside", "lagging")
+        ]
 
     def due(self, name: str, now: float) -> bool:
         """Whether this sweep must ask the replica, traffic not having shown its position.
@@ -166,4 +191,8 @@
         True
         """
         replica = self.replicas.get(name)
-        return replica is None or replica.seen_at is None or now - replica.seen_at >= self.health.sweep_s * (SHOWN + self.turn)
+        return (
+            replica is None
+            or replica.seen_at is None
+            or now - replica.seen_at >= self.health.sweep_s * (SHOWN + self.turn)
+        )
--- a/sumacloom/counter/rules.py
+++ b/sumacloom/counter/rules.py
@@ -8,6 +8,7 @@
   run       send the statement itself
   end       send ABORT behind the statement
 """
+
 from typing import NamedTuple
 
 from ..common.blueprint import Blueprint, Route
@@ -22,8 +23,18 @@
 
 BY_KIND = {
     "primary": {"read": "lead_read", "write": "write", "begin": "begin", "begin_read": "begin"},
-    "stale_ok": {"read": "rotation_read", "write": "write", "begin": "begin", "begin_read": "begin_read"},
-    "self": {"read": "rotation_read", "write": "write", "begin": "begin", "begin_read": "begin_read"},
+    "stale_ok": {
+        "read": "rotation_read",
+        "write": "write",
+        "begin": "begin",
+        "begin_read": "begin_read",
+    },
+    "self": {
+        "read": "rotation_read",
+        "write": "write",
+        "begin": "begin",
+        "begin_read": "begin_read",
+    },
 }
 
 FALLBACK = {"rotation_read": "lead_read", "begin_read": "begin"}
@@ -65,6 +76,13 @@
     0.8
     """
     return Rule(
-        route.name, route.svc, route.kind, route.tmo_ms / 1000, route.goal_ms / 1000, route.prio,
-        route.max_stale_ms / 1000, frozenset(route.geo), BY_KIND.get(route.kind, BY_KIND["primary"]),
+        route.name,
+        route.svc,
+        route.kind,
+        route.tmo_ms / 1000,
+        route.goal_ms / 1000,
+        route.prio,
+        route.max_stale_ms / 1000,
+        frozenset(route.geo),
+        BY_KIND.get(route.kind, BY_KIND["primary"]),
     )
--- a/sumacloom/counter/session.py
+++ b/sumacloom/counter/session.py
@@ -1,4 +1,5 @@
 """Client sessions: what was asked, the transaction, values and prepared names."""
+
 from collections import deque
 from typing import NamedTuple
 
@@ -15,7 +16,7 @@
     'read'
     """
 
-    sort: str        # read write commit abort begin begin_read set prep free malformed nosuch
+    sort: str  # read write commit abort begin begin_read set prep free malformed nosuch
     id: str
     text: str
     name: str = ""
@@ -26,40 +27,66 @@
 class Transaction:
     """A client's transaction; its wire is drawn at the first statement, not at BEGIN."""
 
-    __slots__ = ("rule", "mode", "wire", "failed", "rested_at", "touched", "ran", "writes", "doubtful")
+    __slots__ = (
+        "doubtful",
+        "failed",
+        "mode",
+        "ran",
+        "rested_at",
+        "rule",
+        "touched",
+        "wire",
+        "writes",
+    )
 
     def __init__(self, rule, mode: str, now: float):
         self.rule, self.mode = rule, mode
         self.wire = None
         self.failed = ""
-        self.touched = False       # SET inside it: the wire's record is not to be trusted after an ABORT
-        self.ran = 0               # statements that succeeded
-        self.writes = []           # those of them that write, as listeners get them
+        self.touched = False  # SET inside it: the wire's record is not to be trusted after an ABORT
+        self.ran = 0  # statements that succeeded
+        self.writes = []  # those of them that write, as listeners get them
         self.rested_at = now
-        self.doubtful = False      # its backend no longer knew of it: no promise
+        self.doubtful = False  # its backend no longer knew of it: no promise
 
 
 class Session:
     """One client connection."""
 
     __slots__ = (
-        "key", "splitter", "database", "values", "names", "transaction", "errand", "waiting",
-        "last_commit", "opened_at", "closed", "address", "region",
-        "who", "mode", "plain", "tight_at", "stateful", "ending",
+        "address",
+        "closed",
+        "database",
+        "ending",
+        "errand",
+        "key",
+        "last_commit",
+        "mode",
+        "names",
+        "opened_at",
+        "plain",
+        "region",
+        "splitter",
+        "stateful",
+        "tight_at",
+        "transaction",
+        "values",
+        "waiting",
+        "who",
     )
 
     def __init__(self, key: int, now: float, address: str = ""):
         self.key, self.address = key, address
         self.who, self.mode = "", "transaction"
-        self.plain, self.tight_at, self.stateful = 0, now, False     # of how it was seen to behave
-        self.region = None           # (generation of the access list, region), once looked up
+        self.plain, self.tight_at, self.stateful = 0, now, False  # of how it was seen to behave
+        self.region = None  # (generation of the access list, region), once looked up
         self.splitter = LineSplitter()
         self.database = None
         self.values, self.names = {}, {}
         self.transaction = self.errand = self.last_commit = None
         self.waiting = deque()
         self.opened_at = now
-        self.closed = self.ending = False            # ending: the client sends no more, but may read
+        self.closed = self.ending = False  # ending: the client sends no more, but may read
 
     @property
     def state(self) -> str:
@@ -82,9 +109,11 @@
     >>> "FETCH" in READERS
     True
     """
+
     def register(function):
         READERS[verb] = function
         return function
+
     return register
 
 
--- a/sumacloom/counter/shell.py
+++ b/sumacloom/counter/shell.py
@@ -1,4 +1,5 @@
 """The counter's shell: sockets and clock around the floor."""
+
 import secrets
 import time
 
@@ -6,11 +7,11 @@
 
 from ..common import http
 from ..common.logs import Scribe
-from ..common.signals import Signals
 from ..common.settings import FileWatch, Settings, read_settings, split_address
+from ..common.signals import Signals
 from ..courier.board import Board
-from ..courier.messages import Held
 from ..courier.links import Outlet, accept_all, dial, kept, listen, tune
+from ..courier.messages import Held
 from . import gate, losses, moves, outcomes, spooling, upkeep
 from .floor import Floor
 from .member import Member
@@ -41,15 +42,23 @@
         self.settings = settings
         self.life = secrets.randbits(48)
         self.floor = Floor(settings, self.life)
-        self.outlets: dict = {}          # session or wire key: outlet
+        self.outlets: dict = {}  # session or wire key: outlet
         self.blocked: set = set()
         self.next_session = 0
         self.most_sessions = max(64, settings.limits.nofile - KEPT_DESCRIPTORS)
         self.over = False
         self.signals = Signals().listen()
         self.watch = FileWatch()
-        self.member = Member(settings, self.now, self.take_news, self.floor.yard, self.floor.mishaps, self.report,
-                             self.life, self.hear_spool)
+        self.member = Member(
+            settings,
+            self.now,
+            self.take_news,
+            self.floor.yard,
+            self.floor.mishaps,
+            self.report,
+            self.life,
+            self.hear_spool,
+        )
         self.member.minds = self.floor.pooling.minds
 
     @staticmethod
@@ -63,11 +72,7 @@
 
     # ------------------------------------------------------------ effects
     async def act(self) -> None:
-        """Does what the floor asked for.
-
-        >>> Shell.act.__name__
-        'act'
-        """
+        """Does what the floor asked for."""
         while self.floor.effects:
             effects, self.floor.effects = self.floor.effects, []
             for kind, *rest in effects:
@@ -83,11 +88,7 @@
                     self.over = True
 
     def send(self, key, data: bytes) -> None:
-        """Bytes for a session or a wire.
-
-        >>> Shell.send.__name__
-        'send'
-        """
+        """Bytes for a session or a wire."""
         outlet = self.outlets.get(key)
         if outlet is None:
             return
@@ -97,11 +98,7 @@
             self.blocked.add(key)
 
     def shut(self, key) -> None:
-        """Ends a connection; its reader then sees the end.
-
-        >>> Shell.shut.__name__
-        'shut'
-        """
+        """Ends a connection; its reader then sees the end."""
         outlet = self.outlets.pop(key, None)
         self.blocked.discard(key)
         if outlet is None:
@@ -114,11 +111,7 @@
             pass
 
     async def run_wire(self, key: int, host: str, port: int) -> None:
-        """Dials a backend and reads from it to the end.
-
-        >>> Shell.run_wire.__name__
-        'run_wire'
-        """
+        """Dials a backend and reads from it to the end."""
         wire = self.floor.wires.get(key)
         try:
             sock = await dial(host, port)
@@ -144,11 +137,7 @@
             await self.end_wire(key, why)
 
     async def end_wire(self, key: int, why: str) -> None:
-        """A wire has ended.
-
-        >>> Shell.end_wire.__name__
-        'end_wire'
-        """
+        """A wire has ended."""
         self.outlets.pop(key, None)
         wire = self.floor.wires.get(key)
         if wire:
@@ -158,11 +147,7 @@
         await self.act()
 
     async def run_session(self, sock) -> None:
-        """Reads from a client to the end.
-
-        >>> Shell.run_session.__name__
-        'run_session'
-        """
+        """Reads from a client to the end."""
         if len(self.floor.sessions) >= self.most_sessions:
             async with sock:
                 return
@@ -195,11 +180,7 @@
 
     # ------------------------------------------------------------ news
     async def take_news(self, _news) -> None:
-        """The board has something newer.
-
-        >>> Shell.take_news.__name__
-        'take_news'
-        """
+        """The board has something newer."""
         board: Board = self.member.board
         now = self.now()
         if board.blueprint:
@@ -210,11 +191,7 @@
         await self.act()
 
     async def hear_spool(self, message) -> None:
-        """A registrar holds an intent, or has noted a verdict.
-
-        >>> Shell.hear_spool.__name__
-        'hear_spool'
-        """
+        """A registrar holds an intent, or has noted a verdict."""
         if isinstance(message, Held):
             spooling.intent_held(self.floor, message, self.now())
             await self.act()
@@ -222,20 +199,12 @@
             self.floor.spooling.note(message.database, message.number)
 
     def report(self) -> dict:
-        """What this counter tells the admin API when asked.
-
-        >>> Shell.report.__name__
-        'report'
-        """
+        """What this counter tells the admin API when asked."""
         return report_of(self.floor, self.member, self.now())
 
     # ------------------------------------------------------------ running
     async def clock(self) -> None:
-        """Ticks until this counter has left.
-
-        >>> Shell.clock.__name__
-        'clock'
-        """
+        """Ticks until this counter has left."""
         while not self.over:
             await curio.sleep(TICK_S)
             if self.signals.take_hangup() or self.watch.changed(self.now()):
@@ -255,8 +224,10 @@
             used = self.member.must_be_sure(guarded or lapsed)
             self.floor.take_lanes(lanes.databases, self.member.sure and not lapsed, used, now)
             listeners = self.member.board.listeners
-            self.floor.spooling.listen([database for _name, database, _state in listeners.rows],
-                                       bool(listeners.generation) and not self.member.sure)
+            self.floor.spooling.listen(
+                [database for _name, database, _state in listeners.rows],
+                bool(listeners.generation) and not self.member.sure,
+            )
             self.member.feed_children()
             self.floor.alone = self.member.settled and not self.member.sure
             self.member.leaving = self.floor.leaving != "serving"
@@ -270,11 +241,8 @@
             await self.act()
 
     async def serve_ready(self, sock) -> None:
-        """Tells the platform whether to send clients here.
+        """Tells the platform whether to send clients here."""
 
-        >>> Shell.serve_ready.__name__
-        'serve_ready'
-        """
         async def handler(request):
             path = request.path.partition("?")[0]
             if path != "/api/ready":
@@ -282,28 +250,25 @@
             if request.method != "GET":
                 return http.Reply(405)
             return http.Reply(200 if self.floor.ready else 503)
+
         await http.serve_wire(sock, handler, 4096)
 
     def reread(self) -> None:
-        """Reads the settings file again; nothing is dropped, a bad file changes nothing.
-
-        >>> Shell.reread.__name__
-        'reread'
-        """
+        """Reads the settings file again; nothing is dropped, a bad file changes nothing."""
         result = read_settings("counter")
         if result.is_err():
             scribe.warn("the old settings stay: %s", result.err().sentence)
             return
         fresh = result.ok()
-        self.settings.bounds, self.settings.health, self.settings.seeds = fresh.bounds, fresh.health, fresh.seeds
+        self.settings.bounds, self.settings.health, self.settings.seeds = (
+            fresh.bounds,
+            fresh.health,
+            fresh.seeds,
+        )
         scribe.say("the settings were read again")
 
     async def main(self) -> int:
-        """Runs until SIGTERM, then leaves in order.
-
-        >>> Shell.main.__name__
-        'main'
-        """
+        """Runs until SIGTERM, then leaves in order."""
         settings = self.settings
         for name, serve in (("fe", self.run_session), ("readyz", self.serve_ready)):
             sock = listen(*split_address(getattr(settings.listen, name)))
--- a/sumacloom/counter/spooling.py
+++ b/sumacloom/counter/spooling.py
@@ -3,13 +3,16 @@
 Once a write's end is known its verdict goes to the registrar, again and again until it is noted there.
 What nobody listens to passes untouched. A counter that can't be sure who listens treats all as listened to.
 """
+
 from ..courier.messages import Intent, Verdict
 
-HOLD_S = 0.6             # how long a write waits for its intent to be held
+HOLD_S = 0.6  # how long a write waits for its intent to be held
 AGAIN_S = 1.0
 MOST_UNNOTED = 10_000
 MOST_TEXT = 8192
-PROMISES = frozenset({"BUSY", "ROLLEDBACK", "LAGGING", "RO", "WRONGHOST", "MAXCONN", "NOSUCH", "NODB", "MALFORMED"})
+PROMISES = frozenset(
+    {"BUSY", "ROLLEDBACK", "LAGGING", "RO", "WRONGHOST", "MAXCONN", "NOSUCH", "NODB", "MALFORMED"}
+)
 
 
 class Spooling:
@@ -19,7 +22,7 @@
         self.node, self.life = node, life
         self.databases, self.everything = set(), False
         self.numbers: dict[str, int] = {}
-        self.waiting: dict[tuple, object] = {}       # (database, number): the errand held back
+        self.waiting: dict[tuple, object] = {}  # (database, number): the errand held back
         self.unnoted: dict[tuple, Verdict] = {}
         self.told_at = -1e9
 
@@ -54,16 +57,14 @@
     >>> item_text(decode("1 PUT a b", {})), item_text(decode("1 EXEC s a b", {"s": ("PUT", "q")}))
     ('PUT a b', 'EXEC q a b')
     """
-    text = f"EXEC {statement.prepared[1]} {statement.rest}" if statement.prepared else statement.text
+    text = (
+        f"EXEC {statement.prepared[1]} {statement.rest}" if statement.prepared else statement.text
+    )
     return text if len(text) <= MOST_TEXT else f"{text[:MOST_TEXT]} ... ({len(text)} bytes)"
 
 
 def holds_back(floor, errand, now: float) -> bool:
-    """Whether a statement about to be sent must wait for its intent; if so, the intent goes out.
-
-    >>> holds_back.__name__
-    'holds_back'
-    """
+    """Whether a statement about to be sent must wait for its intent; if so, the intent goes out."""
     spooling, transaction = floor.spooling, errand.transaction
     sort, database = errand.statement.sort, errand.session.database
     if errand.intent or not spooling.wants(database):
@@ -78,19 +79,15 @@
     errand.intent = (database, number, text)
     errand.stage, errand.ran_at = "spooling", now
     if len(spooling.unnoted) >= MOST_UNNOTED:
-        errand.ran_at = now - HOLD_S             # nobody takes our verdicts: given up at the next tick
+        errand.ran_at = now - HOLD_S  # nobody takes our verdicts: given up at the next tick
     spooling.waiting[(database, number)] = errand
     floor.effects.append(("spool", Intent(spooling.life, number, database, text, spooling.node)))
     return True
 
 
 def intent_held(floor, message, now: float) -> None:
-    """A registrar holds the intent: the write goes out.
-
-    >>> intent_held.__name__
-    'intent_held'
-    """
-    if message.life != floor.spooling.life:          # of an earlier life, whose numbers were the same
+    """A registrar holds the intent: the write goes out."""
+    if message.life != floor.spooling.life:  # of an earlier life, whose numbers were the same
         return
     errand = floor.spooling.waiting.pop((message.database, message.number), None)
     if errand and errand.stage == "spooling":
@@ -98,11 +95,7 @@
 
 
 def judge(floor, errand, lines: list[str] | None = None) -> None:
-    """The end of an errand with an intent, from its reply or, without one, from how far it came.
-
-    >>> judge.__name__
-    'judge'
-    """
+    """The end of an errand with an intent, from its reply or, without one, from how far it came."""
     if not errand.intent:
         return
     (database, number, text), errand.intent = errand.intent, None
@@ -120,12 +113,10 @@
 
 
 def tell_again(floor, now: float) -> None:
-    """Verdicts that no registrar has noted go out again.
-
-    >>> tell_again.__name__
-    'tell_again'
-    """
+    """Verdicts that no registrar has noted go out again."""
     spooling = floor.spooling
     if spooling.unnoted and now - spooling.told_at >= AGAIN_S:
         spooling.told_at = now
-        floor.effects.extend(("spool", verdict) for verdict in list(spooling.unnoted.values())[:500])
+        floor.effects.extend(
+            ("spool", verdict) for verdict in list(spooling.unnoted.values())[:500]
+        )
--- a/sumacloom/counter/upkeep.py
+++ b/sumacloom/counter/upkeep.py
@@ -1,4 +1,5 @@
 """What a counter does by the clock: cutoffs, sweeps, warm wires, leaving in order."""
+
 from ..common.logs import Scribe
 from . import losses, moves, spooling, upkeep_spooling  # noqa: F401  (upkeep_spooling serves a stage)
 from .floor import LEAVING, Floor
@@ -6,32 +7,31 @@
 
 scribe = Scribe("upkeep")
 SETUP_CUTOFF_S = 0.25
-STILL_S = 0.25         # between two looks at the clock: this counter stood still, and reads before it judges
+STILL_S = (
+    0.25  # between two looks at the clock: this counter stood still, and reads before it judges
+)
 OWN_CUTOFF_S = 0.8
-UNREAD_S = 5.0         # where nothing was drawn from a rotation for so long, it is not swept
+UNREAD_S = 5.0  # where nothing was drawn from a rotation for so long, it is not swept
 DIAL_CUTOFF_S = 0.8
 READ_AGAIN_S = 0.9
 UNLISTED_S = 2.3
 LOGIN_CUTOFF_S = 5.0
 WARM_EVERY_S = 0.5
 SCARCE_S = 1.0
-SPARE_S = 2.0          # idle for so long, a wire above the cap is closed: others may have none
-HELD_SHARE = 0.45      # of its aim: how long a statement is held for a backend to come
-MOST_HELD = 0.9        # and of its time-out
-LONG_OUTAGE_S = 2.0    # without a lead for so long, hope is thin:
-HELD_LONG = 0.2        # it is held for this share of its aim only
-HELD_ALONE = 0.04      # and for this one by a counter that hears no settled registrar
+SPARE_S = 2.0  # idle for so long, a wire above the cap is closed: others may have none
+HELD_SHARE = 0.45  # of its aim: how long a statement is held for a backend to come
+MOST_HELD = 0.9  # and of its time-out
+LONG_OUTAGE_S = 2.0  # without a lead for so long, hope is thin:
+HELD_LONG = 0.2  # it is held for this share of its aim only
+HELD_ALONE = 0.04  # and for this one by a counter that hears no settled registrar
 
-def tick(floor: Floor, now: float) -> None:
-    """All that is due; the shell calls it some twenty times a second.
 
-    >>> tick.__name__
-    'tick'
-    """
+def tick(floor: Floor, now: float) -> None:
+    """All that is due; the shell calls it some twenty times a second."""
     since, floor.ticked_at = floor.ticked_at, now
     floor.stood_still = since is not None and now - since > STILL_S and not floor.stood_still
     if floor.stood_still:
-        return                                        # answers may lie unread that came while nobody looked
+        return  # answers may lie unread that came while nobody looked
     for errand in [errand for errand in floor.active if errand.stage in AT]:
         AT[errand.stage](floor, errand, now)
     for service, waitlist in floor.waitlists.items():
@@ -58,14 +58,16 @@
     ground = floor.yard.ground(errand.rule.service)
     headless = ground.headless_since is not None and now - ground.headless_since >= LONG_OUTAGE_S
     held = now - errand.received
-    lost = floor.alone and ground.headless_since is not None      # a new lead may stand where we can't hear of it
+    lost = (
+        floor.alone and ground.headless_since is not None
+    )  # a new lead may stand where we can't hear of it
     share = HELD_ALONE if lost else HELD_LONG if headless else HELD_SHARE
     hold = errand.rule.goal_s * share if now >= ground.pending_until else errand.rule.statement_s
     if held >= min(hold, errand.rule.statement_s * MOST_HELD):
         session = errand.session
         moves.refuse(floor, errand, now)
         if lost and session.state == "I" and session.errand is None:
-            floor.shut_session(session, now)           # it meets another counter, which may be better placed
+            floor.shut_session(session, now)  # it meets another counter, which may be better placed
 
 
 @stage("setup")
@@ -75,7 +77,9 @@
     >>> AT["setup"] is check_setup
     True
     """
-    bound = errand.transaction and errand.transaction.ran       # a silence here would end it, not send it elsewhere
+    bound = (
+        errand.transaction and errand.transaction.ran
+    )  # a silence here would end it, not send it elsewhere
     if now >= errand.cutoff or (not bound and now - errand.ran_at >= SETUP_CUTOFF_S):
         losses.backend_silent(floor, errand.wire, "its setup went unanswered", now)
 
@@ -109,17 +113,17 @@
         moves.finish(floor, errand, ["ERR TIMEDOUT the statement took too long"], now)
         wire.owner = None
         losses.wire_lost(floor, wire, "a statement took too long", now)
-    elif (errand.only_reads and errand.transaction is None and errand.sends < 2
-          and now - errand.ran_at >= READ_AGAIN_S):
+    elif (
+        errand.only_reads
+        and errand.transaction is None
+        and errand.sends < 2
+        and now - errand.ran_at >= READ_AGAIN_S
+    ):
         losses.wire_lost(floor, wire, "a read took too long", now)
 
 
 def end_resting(floor, now: float) -> None:
-    """Ends transactions that rest too long, and connections that never log in.
-
-    >>> end_resting.__name__
-    'end_resting'
-    """
+    """Ends transactions that rest too long, and connections that never log in."""
     rest_s = floor.blueprint.limits.tx_idle_ms / 1000 if floor.blueprint else 3.0
     for session in list(floor.sessions.values()):
         transaction = session.transaction
@@ -134,26 +138,21 @@
 
 
 def check_wires(floor, now: float) -> None:
-    """Closes wires that leave a text of our own unanswered.
-
-    >>> check_wires.__name__
-    'check_wires'
-    """
+    """Closes wires that leave a text of our own unanswered."""
     late = [
-        wire for wire in floor.wires.values()
-        if wire.owner is None and (wire.expected or not wire.open)
-        and now - (wire.asked_at if wire.open else wire.opened_at) >= (OWN_CUTOFF_S if wire.open else DIAL_CUTOFF_S)
+        wire
+        for wire in floor.wires.values()
+        if wire.owner is None
+        and (wire.expected or not wire.open)
+        and now - (wire.asked_at if wire.open else wire.opened_at)
+        >= (OWN_CUTOFF_S if wire.open else DIAL_CUTOFF_S)
     ]
     for wire in late:
         losses.wire_lost(floor, wire, "it went silent", now)
 
 
 def warm(floor, now: float) -> None:
-    """Keeps one wire to every backend that this counter may need; where connections are scarce, none unused.
-
-    >>> warm.__name__
-    'warm'
-    """
+    """Keeps one wire to every backend that this counter may need; where connections are scarce, none unused."""
     if floor.blueprint is None:
         return
     wanted = {route.svc for route in floor.blueprint.routes}
@@ -170,19 +169,19 @@
 
 
 def sweep(floor, now: float) -> None:
-    """Asks each replica for its position once a second, unless traffic showed it or nobody reads.
-
-    >>> sweep.__name__
-    'sweep'
-    """
+    """Asks each replica for its position once a second, unless traffic showed it or nobody reads."""
     if floor.leaving != "serving":
         return
     for ground in floor.yard.grounds.values():
-        if now - ground.swept_at < floor.settings.health.sweep_s * 0.9 or now - ground.read_at > UNREAD_S:
+        if (
+            now - ground.swept_at < floor.settings.health.sweep_s * 0.9
+            or now - ground.read_at > UNREAD_S
+        ):
             continue
         ground.swept_at = now
         due = [
-            backend for backend in ground.backends.values()
+            backend
+            for backend in ground.backends.values()
             if backend.role != "primary" and backend.idle and ground.rotation.due(backend.name, now)
         ]
         for backend in due:
@@ -191,22 +190,14 @@
 
 
 def sigterm(floor, now: float) -> None:
-    """The platform asks this process to end.
-
-    >>> sigterm.__name__
-    'sigterm'
-    """
+    """The platform asks this process to end."""
     if floor.leaving == "serving":
         floor.leaving_at = now
         leave(floor, "sigterm", now)
 
 
 def leave_step(floor, now: float) -> None:
-    """Walks the chart `leaving` by the clock.
-
-    >>> leave_step.__name__
-    'leave_step'
-    """
+    """Walks the chart `leaving` by the clock."""
     grace = floor.settings.bounds.grace_s
     gone_for = now - floor.leaving_at
     if gone_for >= min(UNLISTED_S, grace * 0.4):
@@ -220,11 +211,7 @@
 
 
 def leave(floor, event: str, now: float) -> None:
-    """One event of leaving, and what the chart says to do.
-
-    >>> leave.__name__
-    'leave'
-    """
+    """One event of leaving, and what the chart says to do."""
     floor.leaving, actions = LEAVING.step(floor.leaving, event)
     for action in actions:
         if action == "say_leaving":
--- a/sumacloom/counter/upkeep_spooling.py
+++ b/sumacloom/counter/upkeep_spooling.py
@@ -1,4 +1,5 @@
 """What the clock does to a write whose intent no registrar took in time."""
+
 from . import moves
 from .spooling import HOLD_S
 from .upkeep_stages import stage
@@ -6,11 +7,7 @@
 
 @stage("spooling")
 def check_spooling(floor, errand, now: float) -> None:
-    """No registrar took the intent in time: the write was not sent, and the client hears so.
-
-    >>> check_spooling.__name__
-    'check_spooling'
-    """
+    """No registrar took the intent in time: the write was not sent, and the client hears so."""
     if now - errand.ran_at < HOLD_S and now < errand.cutoff:
         return
     wire, transaction = errand.wire, errand.transaction
--- a/sumacloom/counter/upkeep_stages.py
+++ b/sumacloom/counter/upkeep_stages.py
@@ -9,7 +9,9 @@
     >>> stage("nothing")(len) is len
     True
     """
+
     def register(function):
         AT[name] = function
         return function
+
     return register
--- a/sumacloom/counter/verbs.py
+++ b/sumacloom/counter/verbs.py
@@ -1,4 +1,5 @@
 """What each sort of statement does; all but reads, writes and COMMIT are answered here."""
+
 from . import moves
 from .gate import REQUEST
 from .session import MOST_VALUES, Session, Transaction
@@ -12,9 +13,11 @@
     >>> "begin" in SORTS
     True
     """
+
     def register(function):
         SORTS.update(dict.fromkeys(names, function))
         return function
+
     return register
 
 
@@ -139,5 +142,9 @@
     >>> SORTS["nosuch"] is SORTS["malformed"]
     True
     """
-    text = "NOSUCH there is no such name" if statement.sort == "nosuch" else "MALFORMED this statement is not understood"
+    text = (
+        "NOSUCH there is no such name"
+        if statement.sort == "nosuch"
+        else "MALFORMED this statement is not understood"
+    )
     floor.reply(session, [f"ERR {text}"], now)
--- a/sumacloom/counter/wire.py
+++ b/sumacloom/counter/wire.py
@@ -1,4 +1,5 @@
 """One pooled connection to a backend: its record of values and names, and its results."""
+
 from collections import deque
 from typing import NamedTuple
 
@@ -7,7 +8,12 @@
 
 MOST_NAMES = 200
 MOST_ROWS = 3 << 20
-AFTER = {"login": "I", "begin": "T", "anchor": "T", "clean": "I"}    # the state after a success; else as before
+AFTER = {
+    "login": "I",
+    "begin": "T",
+    "anchor": "T",
+    "clean": "I",
+}  # the state after a success; else as before
 
 
 class WireResult(NamedTuple):
@@ -45,9 +51,28 @@
     """
 
     __slots__ = (
-        "key", "backend", "service", "splitter", "expected", "rows", "size", "line", "state", "position",
-        "values", "names", "dirty", "owner", "open", "lost", "opened_at", "idle_since", "asked_at",
-        "login_sent", "doubtful", "stamp",
+        "asked_at",
+        "backend",
+        "dirty",
+        "doubtful",
+        "expected",
+        "idle_since",
+        "key",
+        "line",
+        "login_sent",
+        "lost",
+        "names",
+        "open",
+        "opened_at",
+        "owner",
+        "position",
+        "rows",
+        "service",
+        "size",
+        "splitter",
+        "stamp",
+        "state",
+        "values",
     )
 
     def __init__(self, key: int, backend: str, service: str, now: float):
@@ -59,8 +84,10 @@
         self.values, self.names, self.dirty = {}, {}, False
         self.owner = None
         self.open = self.lost = self.login_sent = False
-        self.stamp = ""              # of the last success: one that comes again is no answer to what was asked since
-        self.doubtful = False        # a success came with a state that does not fit: who knows what ran
+        self.stamp = (
+            ""  # of the last success: one that comes again is no answer to what was asked since
+        )
+        self.doubtful = False  # a success came with a state that does not fit: who knows what ran
         self.opened_at = self.idle_since = self.asked_at = now
 
     def login(self, who: str) -> bytes:
@@ -137,7 +164,9 @@
         if self.line or tag == "login":
             return not self.line and word == "ERR"
         stamped = rest not in ("", "-", self.stamp)
-        return word in ("ROW", "ERR") or (word == "DONE" and (stamped if tag == "run" else rest == "-"))
+        return word in ("ROW", "ERR") or (
+            word == "DONE" and (stamped if tag == "run" else rest == "-")
+        )
 
     def finish(self, state: str, position: Position | None) -> WireResult:
         """Ends the result being read.
--- a/sumacloom/counter/yard.py
+++ b/sumacloom/counter/yard.py
@@ -1,9 +1,10 @@
 """The backends a counter knows, their wires, and which of them may be drawn."""
+
 import zlib
 
 from ..common.logs import Scribe
 from ..common.settings import Settings, split_address
-from ..common.types import ORIGIN, Position
+from ..common.types import Position
 from ..courier.news import Sighting
 from .ground import Backend, Ground
 from .wire import Wire
@@ -13,12 +14,12 @@
 REFUSED_S = 0.25
 SHARE_OF_MAXCONN = 0.7
 MOST_WIRES = 32
-FREE_WIRES = 4         # more than a fair share, as long as the backend does not mind
+FREE_WIRES = 4  # more than a fair share, as long as the backend does not mind
 CROWD_S = 5.0
 SHARE_OF_BOUND = 0.6
 UNKNOWN_MEMBERS = 8
 MEMBERS_S = 10.0
-PACKED_S = 5.0         # so long after a statement in statement mode a wire is kept for the next
+PACKED_S = 5.0  # so long after a statement in statement mode a wire is kept for the next
 
 
 class Yard:
@@ -30,7 +31,10 @@
         self.backends = {}
         self.evacuated = {}
         self.services = {}
-        self.members, self.settled = UNKNOWN_MEMBERS, True    # settled: the members have had the time to be counted
+        self.members, self.settled = (
+            UNKNOWN_MEMBERS,
+            True,
+        )  # settled: the members have had the time to be counted
         self.members_seen = []
         self.next_key = 1
 
@@ -41,7 +45,9 @@
         >>> yard.members
         3
         """
-        self.members_seen = [(seen, count) for seen, count in self.members_seen if now - seen < MEMBERS_S]
+        self.members_seen = [
+            (seen, count) for seen, count in self.members_seen if now - seen < MEMBERS_S
+        ]
         if not self.members_seen or self.members_seen[-1][1] != members:
             self.members_seen.append((now, members))
         else:
@@ -55,7 +61,7 @@
         'svc'
         """
         if service not in self.grounds:
-            turn = zlib.crc32(f"{self.settings.node} {service}".encode()) / 2 ** 32
+            turn = zlib.crc32(f"{self.settings.node} {service}".encode()) / 2**32
             self.grounds[service] = Ground(service, self.settings.health, turn)
         return self.grounds[service]
 
@@ -84,7 +90,10 @@
             self.ground(record.service).backends[record.name] = backend
         was = backend.role
         backend.host, backend.port = address
-        backend.zone, backend.region = record.zone, self.settings.zones.get(record.zone, record.zone)
+        backend.zone, backend.region = (
+            record.zone,
+            self.settings.zones.get(record.zone, record.zone),
+        )
         backend.slots, backend.order = record.slots, record.order
         backend.role = record.role
         if record.role == "primary" and was != "primary":
@@ -128,7 +137,9 @@
         >>> backend.zone = "z"; yard.closed_to_new(backend, 0.0)
         False
         """
-        return self.zone_closed(backend, now) or (backend.phase != "up" and now >= backend.closing_at)
+        return self.zone_closed(backend, now) or (
+            backend.phase != "up" and now >= backend.closing_at
+        )
 
     def zone_closed(self, backend: Backend, now: float) -> bool:
         """Whether the backend's zone is evacuated for so long that not even an open transaction may go on there.
@@ -138,7 +149,10 @@
         (False, True)
         """
         since = self.evacuated.get(backend.zone)
-        return since is not None and now >= since + self.settings.bounds.evac_ms / 1000 * SHARE_OF_BOUND
+        return (
+            since is not None
+            and now >= since + self.settings.bounds.evac_ms / 1000 * SHARE_OF_BOUND
+        )
 
     def at_home(self, backend: Backend, rule) -> bool:
         """Whether the route's homes admit the backend's region.
@@ -175,11 +189,18 @@
         []
         """
         return sorted(
-            (backend for backend in ground.backends.values()
-             if backend.claimed_at > -1e9 and backend.role == "primary"
-             and now >= backend.refused_at + REFUSED_S and (backend.idle or now >= backend.barred_until)
-             and not self.closed_to_new(backend, now) and self.at_home(backend, rule)),
-            key=lambda backend: -backend.claimed_at)
+            (
+                backend
+                for backend in ground.backends.values()
+                if backend.claimed_at > -1e9
+                and backend.role == "primary"
+                and now >= backend.refused_at + REFUSED_S
+                and (backend.idle or now >= backend.barred_until)
+                and not self.closed_to_new(backend, now)
+                and self.at_home(backend, rule)
+            ),
+            key=lambda backend: -backend.claimed_at,
+        )
 
     def draw_rotation(self, ground: Ground, rule, needed: Position, now: float) -> list[Backend]:
         """The replicas that may serve a read: the freshest first, and among equals the nearest.
@@ -187,22 +208,39 @@
         Replicas inside the band count as equally fresh, unless one is known to hold the needed
         position and another is known to lack it.
 
-        >>> yard = Yard(Settings("n", "r", "10.0.0.1", "z")); yard.draw_rotation(yard.ground("s"), None, ORIGIN, 0.0)
+        >>> yard = Yard(Settings("n", "r", "10.0.0.1", "z")); yard.draw_rotation(yard.ground("s"), None, Position(0, 0), 0.0)
         []
         """
         soft, _hard = ground.rotation.bands()
         ranked = []
         for replica in ground.rotation.inside():
             backend = ground.backends.get(replica.name)
-            if (backend is None or backend.role == "primary" or backend.phase != "up"
-                    or backend.zone in self.evacuated or (now < backend.barred_until and not backend.idle)
-                    or not self.at_home(backend, rule)):
+            if (
+                backend is None
+                or backend.role == "primary"
+                or backend.phase != "up"
+                or backend.zone in self.evacuated
+                or (now < backend.barred_until and not backend.idle)
+                or not self.at_home(backend, rule)
+            ):
                 continue
             far = (backend.region != self.settings.region) + (backend.zone != self.settings.zone)
             lacks = replica.position < needed and replica.lag > 0
             busy = len(backend.wires) - len(backend.idle)
             crowded = busy >= max(1, backend.slots)
-            ranked.append((lacks, now < backend.shy_until, replica.lag > soft, crowded, far, busy, -replica.position.number, backend.name, backend))
+            ranked.append(
+                (
+                    lacks,
+                    now < backend.shy_until,
+                    replica.lag > soft,
+                    crowded,
+                    far,
+                    busy,
+                    -replica.position.number,
+                    backend.name,
+                    backend,
+                )
+            )
         ranked.sort()
         return [entry[-1] for entry in ranked]
 
@@ -248,14 +286,15 @@
     def kept_back(self, backend: Backend, errand, lanes: bool, now: float) -> bool:
         """Whether the last wire is not for this one: it is kept for the priority lane, or for sessions that share wires
         by the statement, which transactions with their pauses would else starve.
-
-        >>> Yard.kept_back.__name__
-        'kept_back'
         """
         if errand.packed:
             backend.packed_at = now
         laned = lanes and not errand.lane
-        packs = not errand.packed and errand.transaction is not None and now - backend.packed_at < PACKED_S
+        packs = (
+            not errand.packed
+            and errand.transaction is not None
+            and now - backend.packed_at < PACKED_S
+        )
         return (laned or packs) and self.last_wire(backend, now)
 
     def take_wire(self, backend: Backend, values: dict, prepared) -> Wire | None:
@@ -266,7 +305,11 @@
         """
         best = None
         for wire in reversed(backend.idle):
-            rank = (wire.fits(values), prepared is None or prepared in wire.names, len(wire.values) == len(values))
+            rank = (
+                wire.fits(values),
+                prepared is None or prepared in wire.names,
+                len(wire.values) == len(values),
+            )
             if best is None or rank > best[0]:
                 best = (rank, wire)
             if rank == (True, True, True):
@@ -283,7 +326,11 @@
         >>> yard.new_wire(backend, 0.0).backend
         'i-1'
         """
-        if now < backend.barred_until or len(backend.wires) >= self.cap(backend, now) or self.closed_to_new(backend, now):
+        if (
+            now < backend.barred_until
+            or len(backend.wires) >= self.cap(backend, now)
+            or self.closed_to_new(backend, now)
+        ):
             return None
         wire = Wire(self.next_key, backend.name, backend.service, now)
         self.next_key += 1
@@ -291,7 +338,9 @@
         backend.dialing += 1
         return wire
 
-    def prove_lead(self, backend: Backend, asked_at: float, position: Position | None, now: float) -> None:
+    def prove_lead(
+        self, backend: Backend, asked_at: float, position: Position | None, now: float
+    ) -> None:
         """A success that only a leader can give.
 
         >>> yard = Yard(Settings("n", "r", "10.0.0.1", "z")); backend = Backend("i-1", "s")
@@ -304,7 +353,9 @@
         if ground.lead_name != backend.name and position and position >= ground.lead_seen:
             ground.lead_name = backend.name
             ground.rotation.forget(backend.name)
-            scribe.say("the backend %s leads %s in term %d", backend.name, backend.service, position.term)
+            scribe.say(
+                "the backend %s leads %s in term %d", backend.name, backend.service, position.term
+            )
         if position:
             ground.lead_seen = max(ground.lead_seen, position)
             ground.anchors.note(asked_at, position)
@@ -317,7 +368,8 @@
         """
         return [
             Sighting(replica.name, *replica.position, int((now - replica.seen_at) * 1000))
-            for ground in self.grounds.values() for replica in ground.rotation.replicas.values()
+            for ground in self.grounds.values()
+            for replica in ground.rotation.replicas.values()
             if replica.own_at is not None and replica.own_at > since
         ]
 
@@ -331,8 +383,12 @@
             if backend and backend.role != "primary" and backend.phase != "gone":
                 rotation = self.ground(backend.service).rotation
                 if sighting.backend in rotation.replicas:
-                    rotation.see(sighting.backend, Position(sighting.term, sighting.number),
-                                 now - sighting.age_ms / 1000, own=False)
+                    rotation.see(
+                        sighting.backend,
+                        Position(sighting.term, sighting.number),
+                        now - sighting.age_ms / 1000,
+                        own=False,
+                    )
 
     def note_refusal(self, backend: Backend, now: float) -> None:
         """The backend said RO: it does not lead.
--- a/sumacloom/courier/board.py
+++ b/sumacloom/courier/board.py
@@ -1,11 +1,26 @@
 """The news a daemon holds and passes on; none of it ever moves back within a process life."""
+
 import zlib
 
-from ..common.blueprint import PACK_FROM, Blueprint, decode_blueprint, pack_blueprint, unpack_blueprint
+from ..common.blueprint import (
+    PACK_FROM,
+    Blueprint,
+    decode_blueprint,
+    pack_blueprint,
+    unpack_blueprint,
+)
 from ..common.differences import MARK, differ, patch
 from .messages import News
-from .news import AccessNews, Digest, LaneNews, ListenNews, PoolNews, PoolRow, Record, digest_records
-
+from .news import (
+    AccessNews,
+    Digest,
+    LaneNews,
+    ListenNews,
+    PoolNews,
+    PoolRow,
+    Record,
+    digest_records,
+)
 
 MOST_PAST = 4
 GENERATIONS = ("blueprint", "evacuations", "lanes", "listeners", "access", "pooling")
@@ -35,7 +50,12 @@
     >>> pool_digest({}) == pool_digest({})
     True
     """
-    text = repr([(row.database, row.mode, row.pinned, row.exceptions) for _name, row in sorted(rows.items())])
+    text = repr(
+        [
+            (row.database, row.mode, row.pinned, row.exceptions)
+            for _name, row in sorted(rows.items())
+        ]
+    )
     return f"{zlib.crc32(text.encode()):08x}"
 
 
@@ -51,8 +71,8 @@
     def __init__(self):
         self.blueprint: Blueprint | None = None
         self.packed = b""
-        self.past: list[tuple[int, bytes]] = []    # (ver, packed body) of late, the newest first
-        self.differences: dict[int, bytes] = {}    # what leads from one of those to the present body
+        self.past: list[tuple[int, bytes]] = []  # (ver, packed body) of late, the newest first
+        self.differences: dict[int, bytes] = {}  # what leads from one of those to the present body
         self.evacuations = 0
         self.zones: list[str] = []
         self.records: dict[str, Record] = {}
@@ -68,8 +88,15 @@
         >>> Board().digest()
         Digest(blueprint=0, evacuations=0, records=0, lanes=0, listeners=0, access=0, pooling=0)
         """
-        return Digest(self.blueprint.ver if self.blueprint else 0, self.evacuations, self.known_digest,
-                      self.lanes.order, self.listeners.generation, self.access.order, self.pooling)
+        return Digest(
+            self.blueprint.ver if self.blueprint else 0,
+            self.evacuations,
+            self.known_digest,
+            self.lanes.order,
+            self.listeners.generation,
+            self.access.order,
+            self.pooling,
+        )
 
     def holds(self, digest: Digest) -> bool:
         """Whether no generation of another's is above ours; records have none.
@@ -134,8 +161,11 @@
         if ver not in self.differences:
             old = next((packed for kept, packed in self.past if kept == ver), None)
             shorter = old is not None and len(self.packed) >= PACK_FROM
-            self.differences[ver] = differ(
-                unpack_blueprint(old), unpack_blueprint(self.packed)) if shorter else self.packed
+            self.differences[ver] = (
+                differ(unpack_blueprint(old), unpack_blueprint(self.packed))
+                if shorter
+                else self.packed
+            )
         return min(self.differences[ver], self.packed, key=len)
 
     def take_pooling(self, news: PoolNews) -> bool:
@@ -156,7 +186,11 @@
         >>> Board().pool_news(0)
         PoolNews(generation=0, base=0, rows=[])
         """
-        return PoolNews(self.pooling, generation, [row for row in self.pool_rows.values() if row.since > generation])
+        return PoolNews(
+            self.pooling,
+            generation,
+            [row for row in self.pool_rows.values() if row.since > generation],
+        )
 
     def newer(self, record: Record) -> bool:
         """Whether a record is newer than the one held.
@@ -195,6 +229,13 @@
             self.access if mine.access > held.access else None,
             self.pool_news(held.pooling) if mine.pooling > held.pooling else None,
         )
-        told = (news.blueprint or news.zones is not None or news.records or news.lanes or news.listeners or news.access
-                or news.pooling)
+        told = (
+            news.blueprint
+            or news.zones is not None
+            or news.records
+            or news.lanes
+            or news.listeners
+            or news.access
+            or news.pooling
+        )
         return news if told else None
--- a/sumacloom/courier/links.py
+++ b/sumacloom/courier/links.py
@@ -1,4 +1,5 @@
 """Sockets under curio: links that carry messages, outlets that never wait."""
+
 import socket
 from collections import deque
 
@@ -21,11 +22,7 @@
 
 
 async def dial(host: str, port: int, cutoff_s: float = 0.8, user_timeout_ms: int = USER_TIMEOUT_MS):
-    """Opens a connection in bounded time; raises OSError if it can't.
-
-    >>> dial.__name__
-    'dial'
-    """
+    """Opens a connection in bounded time; raises OSError if it can't."""
     sock = curio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         tune(sock._socket, user_timeout_ms)
@@ -41,26 +38,23 @@
 
 
 async def kept(scribe, function, *values) -> None:
-    """Runs a task for good: a mishap in it is logged, and it begins again.
-
-    >>> kept.__name__
-    'kept'
-    """
+    """Runs a task for good: a mishap in it is logged, and it begins again."""
     while True:
         try:
             await function(*values)
             return
-        except Exception as error:  # noqa: BLE001  (a daemon outlives a mistake in one of its tasks)
-            scribe.warn("%s ended with %s: %s; it begins again", function.__name__, type(error).__name__, error)
+        except Exception as error:
+            scribe.warn(
+                "%s ended with %s: %s; it begins again",
+                function.__name__,
+                type(error).__name__,
+                error,
+            )
             await curio.sleep(0.1)
 
 
 def listen(host: str, port: int, backlog: int = 256):
-    """A listening socket.
-
-    >>> listen.__name__
-    'listen'
-    """
+    """A listening socket."""
     sock = curio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock._socket.bind((host, port))
@@ -69,11 +63,7 @@
 
 
 async def accept_all(sock, serve) -> None:
-    """Takes connections for ever, each served by a task of its own.
-
-    >>> accept_all.__name__
-    'accept_all'
-    """
+    """Takes connections for ever, each served by a task of its own."""
     while True:
         try:
             client, _address = await sock.accept()
@@ -90,7 +80,7 @@
     0
     """
 
-    __slots__ = ("sock", "waiting", "pending", "closed")
+    __slots__ = ("closed", "pending", "sock", "waiting")
 
     def __init__(self, sock):
         self.sock = sock
@@ -154,10 +144,10 @@
         self.sock = sock
         self.outlet = Outlet(sock)
         self.unframer = Unframer()
-        self.peer = None             # the Hello of the far end
+        self.peer = None  # the Hello of the far end
         self.heard_at = 0.0
         self.ended = False
-        self.digest = None           # what the far end holds, as it last said
+        self.digest = None  # what the far end holds, as it last said
 
     def send(self, message) -> bool:
         """Sends a message, or drops it if the link is gone.
@@ -169,11 +159,7 @@
         return self.outlet.send(frame(message))
 
     async def messages(self):
-        """The messages that arrive, until the link ends.
-
-        >>> Link.messages.__name__
-        'messages'
-        """
+        """The messages that arrive, until the link ends."""
         while True:
             try:
                 data = await self.sock.recv(65536)
@@ -183,16 +169,12 @@
             except (OSError, ValueError):
                 return
             for message in arrived:
-                if self.ended:                       # by us: what still lies unread is not taken
+                if self.ended:  # by us: what still lies unread is not taken
                     return
                 yield message
 
     def end(self) -> None:
-        """Ends the link at once, from any task; its reader then sees the end.
-
-        >>> Link.end.__name__
-        'end'
-        """
+        """Ends the link at once, from any task; its reader then sees the end."""
         self.ended = self.outlet.closed = True
         try:
             self.sock._socket.shutdown(2)
@@ -200,11 +182,7 @@
             pass
 
     async def close(self) -> None:
-        """Ends the link.
-
-        >>> Link.close.__name__
-        'close'
-        """
+        """Ends the link."""
         self.outlet.closed = True
         try:
             await self.sock.close()
--- a/sumacloom/courier/messages.py
+++ b/sumacloom/courier/messages.py
@@ -1,11 +1,26 @@
 """What daemons say to one another, as msgspec structures."""
+
 from typing import Union
 
 import msgspec
 
 from ..agreement.configuration import Configuration
-from ..agreement.messages import (Accept, Accepted, Copy, Decided, Fetch, Message, Reconfigured, Prepare, Promise, Query,
-                                  Refused, Settled, Tell, Told)
+from ..agreement.messages import (
+    Accept,
+    Accepted,
+    Copy,
+    Decided,
+    Fetch,
+    Message,
+    Prepare,
+    Promise,
+    Query,
+    Reconfigured,
+    Refused,
+    Settled,
+    Tell,
+    Told,
+)
 from ..common.types import Ballot
 from .news import AccessNews, Digest, LaneNews, ListenNews, PoolNews, Record, Sighting
 
@@ -14,9 +29,9 @@
     node: str
     role: str
     zone: str
-    address: str                 # where this daemon takes links
+    address: str  # where this daemon takes links
     ip: str = ""
-    life: int = 0                # tells one life of a process from the next
+    life: int = 0  # tells one life of a process from the next
 
 
 class MemberBeat(Message):
@@ -26,10 +41,14 @@
     mishaps: list[str] = []
     positions: list[Sighting] = []
     report: dict | None = None
-    leaving: bool = False        # it is being stopped: its end is no loss
-    stamp: float | None = None   # the sender's own clock, to be confirmed where an access list is in use
-    minds: list[tuple[str, str, str, int]] = []   # changes of mind about pool modes, see counter/pooling.py
-    sent_ms: int = 0             # by the sender's own clock; the answer names it
+    leaving: bool = False  # it is being stopped: its end is no loss
+    stamp: float | None = (
+        None  # the sender's own clock, to be confirmed where an access list is in use
+    )
+    minds: list[
+        tuple[str, str, str, int]
+    ] = []  # changes of mind about pool modes, see counter/pooling.py
+    sent_ms: int = 0  # by the sender's own clock; the answer names it
 
 
 class RegistrarBeat(Message):
@@ -42,9 +61,11 @@
     positions: list[Sighting] = []
     want_report: bool = False
     log_level: str = ""
-    settled: bool = True         # whether this registrar hears a majority and lacks nothing decided
-    confirmed: float | None = None   # the newest stamp older than a reading of the access list at a majority
-    answers_ms: int = 0          # the counter's newest beat heard here, by the counter's own clock; 0: none
+    settled: bool = True  # whether this registrar hears a majority and lacks nothing decided
+    confirmed: float | None = (
+        None  # the newest stamp older than a reading of the access list at a majority
+    )
+    answers_ms: int = 0  # the counter's newest beat heard here, by the counter's own clock; 0: none
 
 
 class Follow(Message):
@@ -72,21 +93,27 @@
     What rarely changes is told when it does, and now and then for those who missed it.
     """
 
-    decided: dict[str, Ballot] | None        # None: as last told
-    sessions: list[tuple[str, str, str, int, int, int]] | None   # see Members.told; None: as last told
-    heard: dict[str, int]                    # backend: ms since its last beat; only those heard anew
-    dark: dict[str, int]                     # backend: ms since probes first failed here
-    hears: dict[str, int]                    # registrar: the number of its newest beat heard here
+    decided: dict[str, Ballot] | None  # None: as last told
+    sessions: (
+        list[tuple[str, str, str, int, int, int]] | None
+    )  # see Members.told; None: as last told
+    heard: dict[str, int]  # backend: ms since its last beat; only those heard anew
+    dark: dict[str, int]  # backend: ms since probes first failed here
+    hears: dict[str, int]  # registrar: the number of its newest beat heard here
     records: list[Record] | None
-    digest: int                              # of the records held
+    digest: int  # of the records held
     learned: bool
     suspects: list[str] = []
     positions: list[Sighting] = []
-    configuration: Configuration | None = None               # who votes, as this registrar knows; None: as last told
-    voting: bool = False                     # whether its settings say that it counts as a voter
-    number: int = 0                          # of this beat; the peers name it in `hears`
-    undecided: dict[str, Ballot] = {}        # told with `decided`: what is accepted here and not known to be decided
-    tolerates: int = 0                       # how many machines its settings say may be lost at once
+    configuration: Configuration | None = (
+        None  # who votes, as this registrar knows; None: as last told
+    )
+    voting: bool = False  # whether its settings say that it counts as a voter
+    number: int = 0  # of this beat; the peers name it in `hears`
+    undecided: dict[
+        str, Ballot
+    ] = {}  # told with `decided`: what is accepted here and not known to be decided
+    tolerates: int = 0  # how many machines its settings say may be lost at once
 
 
 class Inquire(Message):
@@ -119,7 +146,7 @@
     """A counter is about to send a write on a database that is listened to."""
 
     life: int
-    number: int                  # rises by one for each database and life
+    number: int  # rises by one for each database and life
     database: str
     text: str
     node: str
@@ -171,9 +198,37 @@
     database: str
 
 
-KINDS = (Hello, MemberBeat, RegistrarBeat, Follow, News, PeerBeat, Prepare, Promise, Accept, Accepted, Refused,
-         Query, Copy, Decided, Fetch, Settled, Reconfigured, Tell, Told, Inquire, Part, Level, Pending, Intent, Held, Verdict, Noted, Spare,
-         SpareHeld)
+KINDS = (
+    Hello,
+    MemberBeat,
+    RegistrarBeat,
+    Follow,
+    News,
+    PeerBeat,
+    Prepare,
+    Promise,
+    Accept,
+    Accepted,
+    Refused,
+    Query,
+    Copy,
+    Decided,
+    Fetch,
+    Settled,
+    Reconfigured,
+    Tell,
+    Told,
+    Inquire,
+    Part,
+    Level,
+    Pending,
+    Intent,
+    Held,
+    Verdict,
+    Noted,
+    Spare,
+    SpareHeld,
+)
 ENCODER = msgspec.msgpack.Encoder()
 DECODER = msgspec.msgpack.Decoder(Union[KINDS])
 MOST_FRAME = 16 << 20
@@ -208,13 +263,13 @@
         data = self.rest + data
         messages, at = [], 0
         while len(data) - at >= 4:
-            size = int.from_bytes(data[at:at + 4], "big")
+            size = int.from_bytes(data[at : at + 4], "big")
             if size > MOST_FRAME:
                 raise ValueError("a frame is too large")
             if len(data) - at - 4 < size:
                 break
             try:
-                messages.append(DECODER.decode(data[at + 4:at + 4 + size]))
+                messages.append(DECODER.decode(data[at + 4 : at + 4 + size]))
             except msgspec.MsgspecError as error:
                 raise ValueError(f"a frame can't be read: {error}") from error
             at += 4 + size
--- a/sumacloom/courier/news.py
+++ b/sumacloom/courier/news.py
@@ -1,4 +1,5 @@
 """The news that daemons hold, as msgspec structures."""
+
 import zlib
 
 import msgspec
@@ -16,7 +17,7 @@
     address: str
     zone: str
     slots: int = 1
-    phase: str = "up"            # up draining gone
+    phase: str = "up"  # up draining gone
     role: str = "replica"
     cold_ms: float = 0
     life: int = 0
@@ -64,7 +65,7 @@
 class LaneNews(msgspec.Struct, array_like=True, frozen=True):
     """The priority lanes: which are in force, and which are offered or in force next."""
 
-    order: int                   # twice the generation, and one more once in force
+    order: int  # twice the generation, and one more once in force
     databases: list[str]
     offered: list[str]
 
@@ -72,28 +73,28 @@
 class AccessNews(msgspec.Struct, array_like=True, frozen=True):
     """The access list: which is in force, and which is offered or in force next."""
 
-    order: int                   # twice the generation, and one more once in force
-    generation: int              # of the list in force; 0: none ever was
-    body: bytes                  # the list in force, packed
-    offered: bytes = b""         # what comes into force next, packed
+    order: int  # twice the generation, and one more once in force
+    generation: int  # of the list in force; 0: none ever was
+    body: bytes  # the list in force, packed
+    offered: bytes = b""  # what comes into force next, packed
 
 
 class PoolRow(msgspec.Struct, array_like=True, frozen=True):
     """How the sessions of one database may share connections."""
 
     database: str
-    mode: str                    # statement transaction
-    pinned: bool = False         # set by an operator: not judged
-    exceptions: list[str] = []   # who is in transaction mode all the same
-    since: int = 0               # the generation in which this row last changed
-    strikes: int = 0             # how often a judgement was taken back
+    mode: str  # statement transaction
+    pinned: bool = False  # set by an operator: not judged
+    exceptions: list[str] = []  # who is in transaction mode all the same
+    since: int = 0  # the generation in which this row last changed
+    strikes: int = 0  # how often a judgement was taken back
 
 
 class PoolNews(msgspec.Struct, array_like=True, frozen=True):
     """What was judged of late: the rows that the receiver lacks."""
 
     generation: int
-    base: int                    # the rows are all that changed after this generation
+    base: int  # the rows are all that changed after this generation
     rows: list[PoolRow]
 
 
@@ -101,7 +102,7 @@
     """Who listens: the whole list, with its generation."""
 
     generation: int
-    rows: list[tuple[str, str, str]]         # name, database, state
+    rows: list[tuple[str, str, str]]  # name, database, state
 
 
 def digest_records(records) -> int:
