--- a/sumacloom/daemon.py
+++ b/sumacloom/daemon.py
@@ -1,4 +1,5 @@
 """Starts a daemon: settings, logs, the shell of its role."""
+
 import errno
 import sys
 
@@ -34,7 +35,10 @@
     try:
         return run_whole(opened.ok().main)
     except OSError as error:
-        print(f"sumacloom {role}: an address of the settings can't be served: {error} (code 1005)", file=sys.stderr)
+        print(
+            f"sumacloom {role}: an address of the settings can't be served: {error} (code 1005)",
+            file=sys.stderr,
+        )
         return exit_code("address_unusable")
 
 
@@ -46,10 +50,12 @@
     0
     """
     import curio
+
     codes = []
 
     async def whole():
         codes.append(await main())
+
     try:
         curio.run(whole)
     except (AssertionError, RuntimeError):
@@ -65,8 +71,10 @@
     'settings'
     """
     import time
+
     from .common.logs import Scribe
     from .common.results import Err, Ok, mishap
+
     for _try in range(DISK_TRIES):
         try:
             return Ok(kind(settings))
@@ -76,7 +84,7 @@
                 break
             Scribe("registrar").warn("the data folder can't be used: %s; it is tried again", error)
             time.sleep(DISK_PAUSE_S)
-        except Exception as error:  # noqa: BLE001  (only one kind carries a mishap; all others go on)
+        except Exception as error:
             if not hasattr(error, "found"):
                 raise
             return Err(error.found)
--- a/sumacloom/fleet/access.py
+++ b/sumacloom/fleet/access.py
@@ -1,4 +1,5 @@
 """Commands of the access list: set, show, check, counts."""
+
 import time
 import urllib.parse
 
@@ -43,14 +44,23 @@
         counters = ask(at, "GET", "/api/admin/counters", list)
         if counters.is_err():
             return counters
-        behind = [row.get("node", "?") for row in counters.ok() if row.get("access", 0) < generation]
+        behind = [
+            row.get("node", "?") for row in counters.ok() if row.get("access", 0) < generation
+        ]
         if not behind and counters.ok():
             unknown = offered.get("not_routed") or []
             note = f"; no route names {', '.join(unknown)}" if unknown else ""
-            return Ok(f"the access list {generation} is in force at {len(counters.ok())} counters{note}")
+            return Ok(
+                f"the access list {generation} is in force at {len(counters.ok())} counters{note}"
+            )
         if time.monotonic() >= cutoff:
-            return Err(mishap("access_waiting", f"the access list {generation} still waits for "
-                              f"{', '.join(behind) or 'the counters'}"))
+            return Err(
+                mishap(
+                    "access_waiting",
+                    f"the access list {generation} still waits for "
+                    f"{', '.join(behind) or 'the counters'}",
+                )
+            )
         time.sleep(0.2)
 
 
@@ -61,7 +71,9 @@
     :param offered: the one that is offered, not yet in force
     """
     path = "/api/admin/access" + ("?offered" if offered else "")
-    found = client.find_registrars(at).and_then(lambda addresses: client.call(addresses, "GET", path))
+    found = client.find_registrars(at).and_then(
+        lambda addresses: client.call(addresses, "GET", path)
+    )
     return finish(found, lambda outcome: print(outcome.body.decode("utf-8", "replace")))
 
 
@@ -74,9 +86,13 @@
     """
     query = urllib.parse.urlencode({"database": database, "address": address})
     found = ask(at, "GET", f"/api/admin/access/check?{query}", dict)
-    code = finish(found, lambda row: print(
-        f"{'allowed' if row['allowed'] else 'denied'} by the rule {row['rule']} of the list {row['generation']}: "
-        f"{row['address']} is in {row['region']}{'' if row['routed'] else '; no route names ' + row['database']}"))
+    code = finish(
+        found,
+        lambda row: print(
+            f"{'allowed' if row['allowed'] else 'denied'} by the rule {row['rule']} of the list {row['generation']}: "
+            f"{row['address']} is in {row['region']}{'' if row['routed'] else '; no route names ' + row['database']}"
+        ),
+    )
     return code or (0 if found.ok()["allowed"] else 7)
 
 
@@ -100,7 +116,14 @@
     """
     keys = dict.fromkeys((row["generation"], row["rule"]) for row in rows)
     return [
-        {"generation": generation, "rule": rule, "nodes": len(found), **{name: sum(row[name] for row in found) for name in COUNTS}}
+        {
+            "generation": generation,
+            "rule": rule,
+            "nodes": len(found),
+            **{name: sum(row[name] for row in found) for name in COUNTS},
+        }
         for generation, rule in keys
-        for found in [[row for row in rows if (row["generation"], row["rule"]) == (generation, rule)]]
+        for found in [
+            [row for row in rows if (row["generation"], row["rule"]) == (generation, rule)]
+        ]
     ]
--- a/sumacloom/fleet/calls.py
+++ b/sumacloom/fleet/calls.py
@@ -1,4 +1,5 @@
 """How commands call the registrars and end."""
+
 import json
 import sys
 
@@ -23,15 +24,19 @@
     return 0
 
 
-def ask(at: str, method: str, path: str, kind: type, body: bytes = b"", headers: dict | None = None) -> Result:
+def ask(
+    at: str, method: str, path: str, kind: type, body: bytes = b"", headers: dict | None = None
+) -> Result:
     """A call to any registrar, its reply read as JSON.
 
     >>> ask("nowhere", "GET", "/", dict).err().name
     'usage'
     """
-    return client.find_registrars(at).and_then(
-        lambda addresses: client.call(addresses, method, path, body, headers)
-    ).and_then(lambda outcome: client.read_json(outcome, kind))
+    return (
+        client.find_registrars(at)
+        .and_then(lambda addresses: client.call(addresses, method, path, body, headers))
+        .and_then(lambda outcome: client.read_json(outcome, kind))
+    )
 
 
 def look(at: str, path: str, kind: type, show, change=Ok) -> int:
@@ -40,8 +45,12 @@
     >>> look("nowhere", "/", dict, print)
     2
     """
-    answered = client.find_registrars(at).and_then(lambda addresses: client.call(addresses, "GET", path))
-    code = finish(answered.and_then(lambda outcome: client.read_json(outcome, kind)).and_then(change), show)
+    answered = client.find_registrars(at).and_then(
+        lambda addresses: client.call(addresses, "GET", path)
+    )
+    code = finish(
+        answered.and_then(lambda outcome: client.read_json(outcome, kind)).and_then(change), show
+    )
     if code or not answered.ok().view:
         return code
     return finish(Err(own_view(answered.ok())))
@@ -55,7 +64,10 @@
     """
     alone = outcome.view.split(" ")[-1]
     seconds = f"for {int(alone) / 1000:.1f} s" if alone.isdigit() else "for some time"
-    return mishap("own_view", f"this is {outcome.address}'s own view: {seconds} it has heard no majority, or lacked something decided")
+    return mishap(
+        "own_view",
+        f"this is {outcome.address}'s own view: {seconds} it has heard no majority, or lacked something decided",
+    )
 
 
 def print_rows(as_json: bool):
--- a/sumacloom/fleet/client.py
+++ b/sumacloom/fleet/client.py
@@ -1,4 +1,5 @@
 """Calls to the registrars: any of them will do; what one can't do another may."""
+
 import http.client
 import json
 import os
@@ -26,7 +27,7 @@
     status: int
     body: bytes
     address: str
-    view: str = ""               # "own 12000": one registrar's, and for how many ms it has been alone
+    view: str = ""  # "own 12000": one registrar's, and for how many ms it has been alone
 
 
 def find_registrars(at: str) -> Result:
@@ -49,12 +50,20 @@
     addresses = [part.strip() for part in text.split(",") if part.strip()]
     wrong = [address for address in addresses if split_address(address) is None]
     if wrong or not addresses:
-        return Err(mishap("usage", f"'{wrong[0]}' is not IP:PORT" if wrong else
-                          f"name a registrar with --at IP:PORT, or in {REGISTRARS}"))
+        return Err(
+            mishap(
+                "usage",
+                f"'{wrong[0]}' is not IP:PORT"
+                if wrong
+                else f"name a registrar with --at IP:PORT, or in {REGISTRARS}",
+            )
+        )
     return Ok(addresses)
 
 
-def call_one(address: str, method: str, path: str, body: bytes, headers: dict, hops: int = 0) -> Outcome | None:
+def call_one(
+    address: str, method: str, path: str, body: bytes, headers: dict, hops: int = 0
+) -> Outcome | None:
     """One call, following 307 twice at most; None if there is no clear reply.
 
     >>> call_one("127.0.0.1:1", "GET", "/", b"", {}) is None
@@ -79,8 +88,16 @@
         wire.close()
 
 
-def call(addresses: list[str], method: str, path: str, body: bytes = b"", headers: dict | None = None,
-         patience_s: float = PATIENCE_S, clock=time.monotonic, rest=time.sleep) -> Result:
+def call(
+    addresses: list[str],
+    method: str,
+    path: str,
+    body: bytes = b"",
+    headers: dict | None = None,
+    patience_s: float = PATIENCE_S,
+    clock=time.monotonic,
+    rest=time.sleep,
+) -> Result:
     """Calls one registrar after the other until one answers clearly, in bounded time.
 
     An unclear end (silence, a 5xx, 408, 429) is sent again unchanged, to the next one, with growing
@@ -90,12 +107,15 @@
     'unreachable'
     """
     started, pause, number = clock(), 0.1, 0
-    alone, last = None, mishap("unreachable", f"no registrar could be reached at {', '.join(addresses)}")
+    alone, last = (
+        None,
+        mishap("unreachable", f"no registrar could be reached at {', '.join(addresses)}"),
+    )
     while True:
         outcome = call_one(addresses[number % len(addresses)], method, path, body, headers or {})
         number += 1
         if outcome and outcome.view and outcome.status < 300 and number < len(addresses):
-            alone = outcome                      # another may know better
+            alone = outcome  # another may know better
             continue
         if outcome and outcome.status < 500 and outcome.status not in AGAIN:
             return Ok(outcome) if outcome.status < 300 else Err(read_mishap(outcome))
@@ -121,7 +141,10 @@
         name = data["error"]
         return mishap(name if name in TABLE else "garbled", str(data["sentence"]))
     except (ValueError, KeyError, TypeError):
-        return mishap("garbled", f"{outcome.address} answered {outcome.status} with something that is not ours")
+        return mishap(
+            "garbled",
+            f"{outcome.address} answered {outcome.status} with something that is not ours",
+        )
 
 
 def read_json(outcome: Outcome, kind: type) -> Result:
--- a/sumacloom/fleet/commands.py
+++ b/sumacloom/fleet/commands.py
@@ -1,4 +1,5 @@
 """The commands of `sumacloom fleet`."""
+
 import json
 import sys
 import time
@@ -17,8 +18,10 @@
     :param at: registrars to ask, IP:PORT,IP:PORT; else SUMACLOOM_REGISTRARS, else the settings file's seeds
     :param json: everything, as one JSON document
     """
+
     def show(fleet):
         print(globals()["json"].dumps(fleet) if json else "\n".join(sum_up(fleet)))
+
     return look(at, "/api/admin/fleet", dict, show)
 
 
@@ -34,14 +37,19 @@
     behind = [row["node"] for row in heard + counters if row.get("blueprint", 0) < newest]
     backends = fleet.get("backends", [])
     services = sorted({row.get("service", "") for row in backends})
-    leads = {row["service"]: row["backend"] for row in backends if row.get("role") == "primary" and not row.get("dark")}
+    leads = {
+        row["service"]: row["backend"]
+        for row in backends
+        if row.get("role") == "primary" and not row.get("dark")
+    }
     duty = (fleet.get("duties") or [{}])[0]
     emptied = [row["zone"] for row in fleet.get("zones", []) if row.get("evacuated")]
     return [
         f"registrars: {len(heard)} of {len(registrars)} heard, {sum(bool(row.get('votes')) for row in heard)} vote",
         f"counters: {len(counters)} members, {sum(bool(row.get('ready')) for row in counters)} ready, "
         f"{sum(row.get('sessions', 0) for row in counters)} sessions, {sum(row.get('waiting', 0) for row in counters)} waiting",
-        f"blueprint: {newest}" + (f", not yet at {', '.join(behind)}" if behind else ", everywhere"),
+        f"blueprint: {newest}"
+        + (f", not yet at {', '.join(behind)}" if behind else ", everywhere"),
         f"services: {len(services)}, without a lead: {', '.join(name for name in services if name not in leads) or 'none'}",
         f"backends: {len(backends)}, dark: {', '.join(row['backend'] for row in backends if row.get('dark')) or 'none'}, "
         f"leaving: {', '.join(row['backend'] for row in backends if row.get('phase') == 'draining') or 'none'}",
@@ -56,8 +64,10 @@
     >>> table_command("duties", "Tells who holds the duty.").__name__
     'duties'
     """
+
     def command(*, at: str = "", json: bool = False) -> int:
         return table(name, at, json)
+
     command.__name__ = name
     command.__doc__ = f"""{sentence}
 
@@ -67,7 +77,18 @@
     return command
 
 
-VOTERS = ("ip", "node", "zone", "standing", "view", "alone_ms", "lacks", "hears", "voters", "leaving_voters")
+VOTERS = (
+    "ip",
+    "node",
+    "zone",
+    "standing",
+    "view",
+    "alone_ms",
+    "lacks",
+    "hears",
+    "voters",
+    "leaving_voters",
+)
 
 
 def voters(*, at: str = "", json: bool = False) -> int:
@@ -76,19 +97,32 @@
     :param at: registrars to ask, IP:PORT,IP:PORT
     :param json: rows as JSON
     """
-    return look(at, "/api/admin/registrars", list, lambda rows: print_rows(json)(
-        [{name: row.get(name) for name in VOTERS} for row in rows]))
+    return look(
+        at,
+        "/api/admin/registrars",
+        list,
+        lambda rows: print_rows(json)([{name: row.get(name) for name in VOTERS} for row in rows]),
+    )
 
 
 LISTS = {
     "members": table_command("counters", "Lists the counters and where their sessions stand."),
     "registrars": table_command("registrars", "Lists the registrars and what they hold."),
-    "backends": table_command("backends", "Lists the backends with role, phase, position and when they were heard."),
-    "rotation": table_command("rotation", "Lists each counter's rotation: which replicas may serve its reads."),
+    "backends": table_command(
+        "backends", "Lists the backends with role, phase, position and when they were heard."
+    ),
+    "rotation": table_command(
+        "rotation", "Lists each counter's rotation: which replicas may serve its reads."
+    ),
     "duties": table_command("duties", "Tells who holds the failover duty, and its fence."),
     "zones": table_command("zones", "Lists the zones, and which are evacuated."),
-    "generations": table_command("generations", "Lists each node, the blueprint it holds, and why if it is behind."),
-    "lanes": table_command("lanes", "Lists the databases in the priority lane, and the counters an offer still waits for."),
+    "generations": table_command(
+        "generations", "Lists each node, the blueprint it holds, and why if it is behind."
+    ),
+    "lanes": table_command(
+        "lanes",
+        "Lists the databases in the priority lane, and the counters an offer still waits for.",
+    ),
 }
 
 
@@ -126,12 +160,25 @@
         counters = ask(at, "GET", "/api/admin/counters", list)
         if counters.is_err():
             return finish(counters)
-        behind = [row.get("node", "?") for row in counters.ok() if row.get("lanes_held", 0) < generation * 2 + 1]
+        behind = [
+            row.get("node", "?")
+            for row in counters.ok()
+            if row.get("lanes_held", 0) < generation * 2 + 1
+        ]
         if not behind:
-            print(f"the lanes {generation} are in force at {len(counters.ok())} counters: {', '.join(databases) or 'none'}")
+            print(
+                f"the lanes {generation} are in force at {len(counters.ok())} counters: {', '.join(databases) or 'none'}"
+            )
             return 0
         if time.monotonic() >= cutoff:
-            return finish(Err(mishap("lanes_waiting", f"the lanes {generation} still wait for {', '.join(behind)}")))
+            return finish(
+                Err(
+                    mishap(
+                        "lanes_waiting",
+                        f"the lanes {generation} still wait for {', '.join(behind)}",
+                    )
+                )
+            )
         time.sleep(0.2)
 
 
@@ -142,7 +189,9 @@
     :param at: registrars to ask, IP:PORT,IP:PORT
     :param json: rows as JSON
     """
-    return look(at, "/api/admin/fleet", dict, print_rows(json), lambda tables: run_query(tables, text))
+    return look(
+        at, "/api/admin/fleet", dict, print_rows(json), lambda tables: run_query(tables, text)
+    )
 
 
 def get(*, at: str = "") -> int:
@@ -151,8 +200,10 @@
     :param at: registrars to ask, IP:PORT,IP:PORT
     """
     addresses = client.find_registrars(at)
-    return finish(addresses.and_then(lambda found: client.call(found, "GET", "/api/config")),
-                  lambda outcome: print(outcome.body.decode("utf-8", "replace")))
+    return finish(
+        addresses.and_then(lambda found: client.call(found, "GET", "/api/config")),
+        lambda outcome: print(outcome.body.decode("utf-8", "replace")),
+    )
 
 
 def read_file(path: str) -> Result:
@@ -173,8 +224,12 @@
 
     :param file: the blueprint, JSON
     """
-    return finish(read_file(file).and_then(check_all), lambda model: print(
-        f"the blueprint {model.ver} is valid: {len(model.routes)} routes, {len(model.svcs)} services"))
+    return finish(
+        read_file(file).and_then(check_all),
+        lambda model: print(
+            f"the blueprint {model.ver} is valid: {len(model.routes)} routes, {len(model.svcs)} services"
+        ),
+    )
 
 
 def check_all(raw: bytes) -> Result:
@@ -184,6 +239,7 @@
     'unreadable'
     """
     from ..registrar.check import find_mishaps
+
     mishaps, model = find_mishaps(raw)
     for found in mishaps[:-1]:
         print(f"sumacloom fleet: {found.sentence} (code {found.code})", file=sys.stderr)
@@ -197,8 +253,14 @@
     :param base: the generation it builds on; else the one in force
     :param at: registrars to ask, IP:PORT,IP:PORT
     """
-    return finish(read_file(file).and_then(lambda raw: check_all(raw).and_then(
-        lambda model: send_blueprint(raw, model.ver, base, at))), print)
+    return finish(
+        read_file(file).and_then(
+            lambda raw: check_all(raw).and_then(
+                lambda model: send_blueprint(raw, model.ver, base, at)
+            )
+        ),
+        print,
+    )
 
 
 def send_blueprint(raw: bytes, ver: int, base: int, at: str) -> Result:
@@ -218,8 +280,13 @@
         if current.is_ok() and read.is_err():
             return read
         base = int(read.ok().get("ver", 0)) if read.is_ok() else 0
-    sent = client.call(addresses.ok(), "PUT", "/api/config", raw,
-                       {"Content-Type": "application/json", "If-Match": str(base)})
+    sent = client.call(
+        addresses.ok(),
+        "PUT",
+        "/api/config",
+        raw,
+        {"Content-Type": "application/json", "If-Match": str(base)},
+    )
     return sent.map(lambda _answered: f"the blueprint {ver} is in force, built on {base}")
 
 
@@ -258,13 +325,31 @@
     :param at: registrars to ask, IP:PORT,IP:PORT
     """
     body = json.dumps({"level": level.upper()}).encode()
-    return finish(ask(at, "PUT", "/api/admin/log-level", dict, body), lambda reply: print(f"the log level is {reply['level']}"))
+    return finish(
+        ask(at, "PUT", "/api/admin/log-level", dict, body),
+        lambda reply: print(f"the log level is {reply['level']}"),
+    )
 
 
 COMMANDS = {
-    "status": status, "voters": voters, **LISTS, "query": query, "evacuate": evacuate, "restore": restore, "log-level": log_level,
-    "lane": {"set": set_lanes, "clear": clear_lanes}, "blueprint": {"get": get, "check": check, "put": put}, "undo": undo,
-    "access": {"set": access.set_list, "show": access.show, "check": access.check, "counts": access.counts},
+    "status": status,
+    "voters": voters,
+    **LISTS,
+    "query": query,
+    "evacuate": evacuate,
+    "restore": restore,
+    "log-level": log_level,
+    "lane": {"set": set_lanes, "clear": clear_lanes},
+    "blueprint": {"get": get, "check": check, "put": put},
+    "undo": undo,
+    "access": {
+        "set": access.set_list,
+        "show": access.show,
+        "check": access.check,
+        "counts": access.counts,
+    },
     "pooling": {"show": pooling.show, "set": pooling.set_mode},
-    "listen": listen, "unlisten": unlisten, "listeners": listeners,
+    "listen": listen,
+    "unlisten": unlisten,
+    "listeners": listeners,
 }
--- a/sumacloom/fleet/listening.py
+++ b/sumacloom/fleet/listening.py
@@ -3,6 +3,7 @@
 The file that `listen` writes is its cursor too: an item and the proof that it was taken are one line, synced
 before the next taking acknowledges it. So an item is in the file once, whatever dies in between.
 """
+
 import json
 import os
 import time
@@ -21,7 +22,7 @@
     try:
         with open(path, "rb+") as file:
             data = file.read()
-            whole = data[:data.rfind(b"\n") + 1]
+            whole = data[: data.rfind(b"\n") + 1]
             if len(whole) < len(data):
                 file.truncate(len(whole))
                 os.fsync(file.fileno())
@@ -58,8 +59,15 @@
     return Ok(None)
 
 
-def take_all(addresses: list[str], name: str, database: str, path: str, count: int, seconds: float,
-             clock=time.monotonic) -> Result:
+def take_all(
+    addresses: list[str],
+    name: str,
+    database: str,
+    path: str,
+    count: int,
+    seconds: float,
+    clock=time.monotonic,
+) -> Result:
     """Takes items into the file until the count or the time is reached; 0 of either means without end.
 
     >>> take_all([], "desk", "books", "/nowhere/at/all", 1, -1.0)
@@ -83,7 +91,7 @@
             if kept.is_err():
                 return kept
             taken, last = taken + len(items), items[-1]["number"]
-    if taken:                                # what is safe in the file need not be kept for us any more
+    if taken:  # what is safe in the file need not be kept for us any more
         client.call(addresses, "GET", f"{place}?cursor={last + 1}&wait=0", patience_s=0.0)
     return Ok(taken)
 
@@ -95,5 +103,9 @@
     (['b (1)'], {'x'})
     """
     newest = max((row.get("generation", 0) for row in rows), default=0)
-    behind = [f"{row.get('node')} ({row.get('why') or row.get('generation')})" for row in rows if row.get("generation", 0) != newest]
+    behind = [
+        f"{row.get('node')} ({row.get('why') or row.get('generation')})"
+        for row in rows
+        if row.get("generation", 0) != newest
+    ]
     return behind, {row.get("digest") for row in rows if row.get("generation", 0) == newest}
--- a/sumacloom/fleet/orders.py
+++ b/sumacloom/fleet/orders.py
@@ -1,4 +1,5 @@
 """Commands that wait until the whole fleet agrees: undo, and who listens."""
+
 import hashlib
 import json
 import os
@@ -23,7 +24,9 @@
         if current.is_err():
             return finish(current)
         generation = int(current.ok().get("ver", 0))
-    undone = ask(at, "POST", "/api/admin/undo", dict, json.dumps({"generation": generation}).encode())
+    undone = ask(
+        at, "POST", "/api/admin/undo", dict, json.dumps({"generation": generation}).encode()
+    )
     return finish(undone.and_then(lambda order: watch_undo(order, at, wait, set(without))), print)
 
 
@@ -39,22 +42,40 @@
         if rows.is_err():
             return rows
         nodes = [row for row in rows.ok() if row.get("node") not in without]
-        behind = [f"{row.get('node')} ({row.get('why') or 'at ' + str(row.get('generation'))})" for row in nodes
-                  if row.get("generation", 0) < wanted]
+        behind = [
+            f"{row.get('node')} ({row.get('why') or 'at ' + str(row.get('generation'))})"
+            for row in nodes
+            if row.get("generation", 0) < wanted
+        ]
         held = {(row.get("generation"), row.get("body")) for row in nodes}
         if nodes and not behind and len(held) == 1:
             newer = next(iter(held))[0]
             later = f"; {newer} is in force since" if newer != wanted else ""
-            return Ok(f"the blueprint {order.get('undone')} is undone: {wanted} restores {order.get('restores')} "
-                      f"at all {len(nodes)} nodes{later}")
+            return Ok(
+                f"the blueprint {order.get('undone')} is undone: {wanted} restores {order.get('restores')} "
+                f"at all {len(nodes)} nodes{later}"
+            )
         if time.monotonic() >= cutoff:
-            return Err(mishap("undo_waiting", f"the blueprint {wanted} restores {order.get('restores')}, "
-                              f"but is not yet at {', '.join(behind) or 'all nodes alike'}"))
+            return Err(
+                mishap(
+                    "undo_waiting",
+                    f"the blueprint {wanted} restores {order.get('restores')}, "
+                    f"but is not yet at {', '.join(behind) or 'all nodes alike'}",
+                )
+            )
         time.sleep(0.2)
 
 
-def listen(name: str, database: str, *, into: str, count: int = 0, seconds: float = 0.0, at: str = "",
-           wait: float = 15.0) -> int:
+def listen(
+    name: str,
+    database: str,
+    *,
+    into: str,
+    count: int = 0,
+    seconds: float = 0.0,
+    at: str = "",
+    wait: float = 15.0,
+) -> int:
     """Listens to a database: each committed write comes once, as a line of the file, which is the cursor too.
 
     :param name: who listens; a name is taken by one listener
@@ -68,9 +89,14 @@
     token = hashlib.sha256(os.path.abspath(into).encode()).hexdigest()[:32]
     body = globals()["json"].dumps({"name": name, "database": database, "token": token}).encode()
     asked = ask(at, "POST", "/api/admin/listeners", dict, body)
-    return finish(asked.and_then(lambda _row: await_listening(name, database, at, wait)).and_then(
-        lambda _row: listening.take_all(client.find_registrars(at).ok(), name, database, into, count, seconds)),
-        lambda taken: print(f"{taken} items taken"))
+    return finish(
+        asked.and_then(lambda _row: await_listening(name, database, at, wait)).and_then(
+            lambda _row: listening.take_all(
+                client.find_registrars(at).ok(), name, database, into, count, seconds
+            )
+        ),
+        lambda taken: print(f"{taken} items taken"),
+    )
 
 
 def await_listening(name: str, database: str, at: str, wait: float) -> Result:
@@ -84,11 +110,23 @@
         rows = ask(at, "GET", "/api/admin/listeners", list)
         if rows.is_err():
             return rows
-        row = next((row for row in rows.ok() if (row.get("name"), row.get("database")) == (name, database)), {})
+        row = next(
+            (
+                row
+                for row in rows.ok()
+                if (row.get("name"), row.get("database")) == (name, database)
+            ),
+            {},
+        )
         if row.get("state") in ("listening", "lapsed"):
             return Ok(row)
         if time.monotonic() >= cutoff:
-            return Err(mishap("listeners_waiting", f"{name} joins, but waits for {row.get('waits_for') or 'the registrars'}"))
+            return Err(
+                mishap(
+                    "listeners_waiting",
+                    f"{name} joins, but waits for {row.get('waits_for') or 'the registrars'}",
+                )
+            )
         time.sleep(0.2)
 
 
@@ -100,7 +138,10 @@
     :param at: registrars to ask, IP:PORT,IP:PORT
     """
     path = f"/api/admin/listeners/{urllib.parse.quote(database, safe='')}/{urllib.parse.quote(name, safe='')}"
-    return finish(ask(at, "DELETE", path, dict), lambda _reply: print(f"{name} no longer listens to {database}"))
+    return finish(
+        ask(at, "DELETE", path, dict),
+        lambda _reply: print(f"{name} no longer listens to {database}"),
+    )
 
 
 def listeners(*, at: str = "", json: bool = False, nodes: bool = False) -> int:
@@ -118,5 +159,12 @@
         return code
     behind, digests = listening.agreement(rows.ok())
     if behind or len(digests) > 1:
-        return finish(Err(mishap("listeners_waiting", f"not all nodes hold the newest list: {', '.join(behind) or 'digests differ'}")))
+        return finish(
+            Err(
+                mishap(
+                    "listeners_waiting",
+                    f"not all nodes hold the newest list: {', '.join(behind) or 'digests differ'}",
+                )
+            )
+        )
     return 0
--- a/sumacloom/fleet/pooling.py
+++ b/sumacloom/fleet/pooling.py
@@ -1,4 +1,5 @@
 """Commands of the pool modes: show, set, and whether all nodes hold the same."""
+
 import json as json_library
 
 from ..common.results import Err, mishap
@@ -21,10 +22,21 @@
         return code
     newest = max((row.get("generation", 0) for row in rows.ok()), default=0)
     digests = {row.get("digest") for row in rows.ok()}
-    behind = [row.get("node") or "?" for row in rows.ok() if row.get("generation", 0) < newest or not row.get("digest")]
+    behind = [
+        row.get("node") or "?"
+        for row in rows.ok()
+        if row.get("generation", 0) < newest or not row.get("digest")
+    ]
     if behind or len(digests) > 1:
-        return finish(Err(mishap("pooling_waiting", f"not all nodes hold the newest pool modes: "
-                                 f"{', '.join(behind) or 'digests differ'}")))
+        return finish(
+            Err(
+                mishap(
+                    "pooling_waiting",
+                    f"not all nodes hold the newest pool modes: "
+                    f"{', '.join(behind) or 'digests differ'}",
+                )
+            )
+        )
     return 0
 
 
@@ -38,6 +50,10 @@
     """
     body = json_library.dumps({"database": database, "mode": mode}).encode()
     headers = {"If-Match": str(base)} if base >= 0 else {}
-    return finish(ask(at, "PUT", "/api/admin/pooling", dict, body, headers), lambda reply: print(
-        f"{database} is {'judged from what its sessions do' if mode == 'auto' else 'in ' + mode + ' mode'}, "
-        f"generation {reply['generation']}"))
+    return finish(
+        ask(at, "PUT", "/api/admin/pooling", dict, body, headers),
+        lambda reply: print(
+            f"{database} is {'judged from what its sessions do' if mode == 'auto' else 'in ' + mode + ' mode'}, "
+            f"generation {reply['generation']}"
+        ),
+    )
--- a/sumacloom/fleet/tables.py
+++ b/sumacloom/fleet/tables.py
@@ -1,4 +1,5 @@
 """Rows for people, and SQL over them through sqlite in memory."""
+
 import sqlite3
 
 from ..common.results import Err, Ok, Result, mishap
@@ -18,7 +19,9 @@
     names = list(dict.fromkeys(name for row in rows for name in row))
     lines = [names] + [[show(row.get(name)) for name in names] for row in rows]
     widths = [max(len(line[place]) for line in lines) for place in range(len(names))]
-    return "\n".join("  ".join(cell.ljust(width) for cell, width in zip(line, widths)).rstrip() for line in lines)
+    return "\n".join(
+        "  ".join(cell.ljust(width) for cell, width in zip(line, widths)).rstrip() for line in lines
+    )
 
 
 def show(value) -> str:
@@ -58,11 +61,20 @@
             quoted = ", ".join('"%s"' % column.replace('"', '""') for column in columns)
             wire.execute(f'CREATE TABLE "{name}" ({quoted})')
             marks = ", ".join("?" * len(columns))
-            wire.executemany(f'INSERT INTO "{name}" VALUES ({marks})',
-                             [[clean(row.get(column)) for column in columns] for row in rows])
+            wire.executemany(
+                f'INSERT INTO "{name}" VALUES ({marks})',
+                [[clean(row.get(column)) for column in columns] for row in rows],
+            )
         wire.commit()
-        allowed = (sqlite3.SQLITE_SELECT, sqlite3.SQLITE_READ, sqlite3.SQLITE_FUNCTION, sqlite3.SQLITE_RECURSIVE)
-        wire.set_authorizer(lambda action, *_rest: sqlite3.SQLITE_OK if action in allowed else sqlite3.SQLITE_DENY)
+        allowed = (
+            sqlite3.SQLITE_SELECT,
+            sqlite3.SQLITE_READ,
+            sqlite3.SQLITE_FUNCTION,
+            sqlite3.SQLITE_RECURSIVE,
+        )
+        wire.set_authorizer(
+            lambda action, *_rest: sqlite3.SQLITE_OK if action in allowed else sqlite3.SQLITE_DENY
+        )
         steps = iter(range(MOST_STEPS // 1000))
         wire.set_progress_handler(lambda: next(steps, None) is None, 1000)
         cursor = wire.execute(text)
@@ -71,7 +83,11 @@
         names = [column[0] for column in cursor.description]
         return Ok([dict(zip(names, row)) for row in cursor])
     except (sqlite3.Error, sqlite3.Warning) as error:
-        reason = "only SELECT is answered here" if "authorized" in str(error) or "prohibited" in str(error) else error
+        reason = (
+            "only SELECT is answered here"
+            if "authorized" in str(error) or "prohibited" in str(error)
+            else error
+        )
         return Err(mishap("bad_query", f"the query can't be run: {reason}"))
     finally:
         wire.close()
--- a/sumacloom/ledger/log.py
+++ b/sumacloom/ledger/log.py
@@ -1,4 +1,5 @@
 """A log in segments with snapshots beside it; what `append` returned from is on disk, or the ledger says `damaged`."""
+
 import os
 
 from ..common.logs import Scribe
@@ -7,8 +8,8 @@
 
 scribe = Scribe("ledger")
 SEGMENT_BYTES = 2 << 20
-MOST_SEGMENTS = 4                              # so many full segments without a snapshot, and there must be one first
-SNAPSHOTS = ("capture-", "snapshot-")          # what they were once called, and are now
+MOST_SEGMENTS = 4  # so many full segments without a snapshot, and there must be one first
+SNAPSHOTS = ("capture-", "snapshot-")  # what they were once called, and are now
 
 
 def write_all(file: int, data: bytes) -> None:
@@ -18,7 +19,7 @@
     """
     view = memoryview(data)
     while view:
-        view = view[os.write(file, view):]
+        view = view[os.write(file, view) :]
 
 
 class Ledger:
@@ -37,7 +38,11 @@
         self.folder, self.segment_bytes = folder, segment_bytes
         os.makedirs(folder, exist_ok=True)
         names = os.listdir(folder)
-        snapshots = {number: f"{prefix}{number}" for prefix in SNAPSHOTS for number in self.numbers(names, prefix)}
+        snapshots = {
+            number: f"{prefix}{number}"
+            for prefix in SNAPSHOTS
+            for number in self.numbers(names, prefix)
+        }
         segments = sorted(self.numbers(names, "log-"))
         self.payloads, start, rotten = [], 0, []
         for number in sorted(snapshots, reverse=True):
@@ -52,15 +57,23 @@
         self.damaged: Mishap | None = self.judge(start, rotten, row, scans)
         self.fresh = not self.damaged and not snapshots and not any(found.size for found in scans)
         self.number = row[-1] if row else 1
-        self.size, self.doubtful = (scans[-1].filled, scans[-1].filled < scans[-1].size) if row else (0, False)
+        self.size, self.doubtful = (
+            (scans[-1].filled, scans[-1].filled < scans[-1].size) if row else (0, False)
+        )
         if self.damaged:
             scribe.warn("%s (code %d)", self.damaged.sentence, self.damaged.code)
             self.number, self.size, self.doubtful = max([*segments, *snapshots]) + 1, 0, False
         elif self.doubtful:
-            scribe.warn("a torn tail of %d bytes of log-%d is cut off", scans[-1].size - self.size, self.number)
-        self.unkept = sum(found.filled for found in scans)       # bytes in segments since the last snapshot
+            scribe.warn(
+                "a torn tail of %d bytes of log-%d is cut off",
+                scans[-1].size - self.size,
+                self.number,
+            )
+        self.unkept = sum(
+            found.filled for found in scans
+        )  # bytes in segments since the last snapshot
         self.file = self.open_segment()
-        os.fsync(self.file)                                      # what a killed process had not synced is acted on
+        os.fsync(self.file)  # what a killed process had not synced is acted on
         self.sync_folder()
 
     @staticmethod
@@ -76,9 +89,16 @@
             return None
         if not start and row[:1] == [1] and not rotten and scans[0].foreign:
             return mishap("ledger_foreign", "log-1 begins with what no registrar writes")
-        wrong = [f"log-{number} is damaged before its synced end" for number, found in zip(row, scans)
-                 if found.damaged or (found.filled < found.size and number != row[-1])]
-        if row != list(range(first, first + len(row))) or not row or row[-1] < max(rotten, default=0):
+        wrong = [
+            f"log-{number} is damaged before its synced end"
+            for number, found in zip(row, scans)
+            if found.damaged or (found.filled < found.size and number != row[-1])
+        ]
+        if (
+            row != list(range(first, first + len(row)))
+            or not row
+            or row[-1] < max(rotten, default=0)
+        ):
             wrong.append(f"the log does not go from {first} on without a gap")
         return mishap("ledger_damaged", f"memory is lost: {', '.join(wrong)}") if wrong else None
 
@@ -89,39 +109,27 @@
         >>> Ledger.numbers(["log-3", "log-x", "capture-1"], "log-")
         [3]
         """
-        return [int(name[len(prefix):]) for name in names if name.startswith(prefix) and name[len(prefix):].isdigit()]
+        return [
+            int(name[len(prefix) :])
+            for name in names
+            if name.startswith(prefix) and name[len(prefix) :].isdigit()
+        ]
 
     def path(self, name: str) -> str:
-        """A file of this ledger.
-
-        >>> Ledger.path.__name__
-        'path'
-        """
+        """A file of this ledger."""
         return os.path.join(self.folder, name)
 
     def load(self, name: str, number: int) -> Scan:
-        """What a file of this ledger holds.
-
-        >>> Ledger.load.__name__
-        'load'
-        """
+        """What a file of this ledger holds."""
         with open(self.path(name), "rb") as file:
             return scan(file.read(), number)
 
     def open_segment(self) -> int:
-        """The file of the current segment, made if it isn't there.
-
-        >>> Ledger.open_segment.__name__
-        'open_segment'
-        """
+        """The file of the current segment, made if it isn't there."""
         return os.open(self.path(f"log-{self.number}"), os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o644)
 
     def sync_folder(self) -> None:
-        """Makes names in the folder last.
-
-        >>> Ledger.sync_folder.__name__
-        'sync_folder'
-        """
+        """Makes names in the folder last."""
         folder = os.open(self.folder, os.O_RDONLY)
         try:
             os.fsync(folder)
@@ -129,13 +137,9 @@
             os.close(folder)
 
     def append(self, payloads: list[bytes]) -> None:
-        """Writes records and syncs; only then does it return. After an OSError the same call may be made again.
-
-        >>> Ledger.append.__name__
-        'append'
-        """
+        """Writes records and syncs; only then does it return. After an OSError the same call may be made again."""
         data = group(self.number, self.size, payloads)
-        if self.doubtful:                    # an earlier try failed midway: what it left is no record
+        if self.doubtful:  # an earlier try failed midway: what it left is no record
             os.ftruncate(self.file, self.size)
         self.doubtful = True
         write_all(self.file, data)
@@ -146,20 +150,12 @@
 
     @property
     def full(self) -> bool:
-        """Whether it is time for a snapshot; never while memory is lost, until all is learned anew.
-
-        >>> Ledger.full.fget.__name__
-        'full'
-        """
+        """Whether it is time for a snapshot; never while memory is lost, until all is learned anew."""
         return self.unkept >= self.segment_bytes and not self.damaged
 
     @property
     def crowded(self) -> bool:
-        """Whether the log may not grow any more before a snapshot: what is left of the disk is for that.
-
-        >>> Ledger.crowded.fget.__name__
-        'crowded'
-        """
+        """Whether the log may not grow any more before a snapshot: what is left of the disk is for that."""
         return self.unkept >= MOST_SEGMENTS * self.segment_bytes and not self.damaged
 
     def snapshot(self, payloads: list[bytes]) -> None:
@@ -172,25 +168,21 @@
         >>> ledger.append([b"one"]); ledger.snapshot([b"state"]); Ledger(folder).payloads
         [b'state']
         """
-        if self.doubtful:                    # no segment but the last may have a torn end
+        if self.doubtful:  # no segment but the last may have a torn end
             os.ftruncate(self.file, self.size)
             os.fsync(self.file)
             self.doubtful = False
         self.write_draft(group(self.number + bool(self.size), 0, payloads))
         if self.size:
             self.begin_segment()
-        os.fsync(self.file)                  # its name lasts before the snapshot's does
+        os.fsync(self.file)  # its name lasts before the snapshot's does
         os.rename(self.path("draft"), self.path(f"snapshot-{self.number}"))
         self.sync_folder()
         self.damaged, self.unkept = None, self.size
         self.remove_old()
 
     def write_draft(self, data: bytes) -> None:
-        """A synced file beside the others; one that did not fit is removed.
-
-        >>> Ledger.write_draft.__name__
-        'write_draft'
-        """
+        """A synced file beside the others; one that did not fit is removed."""
         file = os.open(self.path("draft"), os.O_RDWR | os.O_CREAT | os.O_TRUNC, 0o644)
         try:
             write_all(file, data)
@@ -202,11 +194,7 @@
             os.close(file)
 
     def begin_segment(self) -> None:
-        """The next segment; from here on all appends go there, and their sync makes its name last.
-
-        >>> Ledger.begin_segment.__name__
-        'begin_segment'
-        """
+        """The next segment; from here on all appends go there, and their sync makes its name last."""
         self.number += 1
         try:
             fresh = self.open_segment()
@@ -217,11 +205,7 @@
         self.file, self.size = fresh, 0
 
     def remove_old(self) -> None:
-        """Removes what the newest snapshot stands for.
-
-        >>> Ledger.remove_old.__name__
-        'remove_old'
-        """
+        """Removes what the newest snapshot stands for."""
         names = os.listdir(self.folder)
         for prefix in ("log-", *SNAPSHOTS):
             for number in self.numbers(names, prefix):
@@ -230,9 +214,5 @@
         self.sync_folder()
 
     def close(self) -> None:
-        """Closes the segment.
-
-        >>> Ledger.close.__name__
-        'close'
-        """
+        """Closes the segment."""
         os.close(self.file)
--- a/sumacloom/ledger/records.py
+++ b/sumacloom/ledger/records.py
@@ -6,11 +6,12 @@
 
 Files of the first version hold bare records (length, checksum, payload); a group may follow them.
 """
+
 import struct
 import zlib
 from typing import NamedTuple
 
-MARK = b"\xf5LG1"            # read as the length of a bare record it is too much
+MARK = b"\xf5LG1"  # read as the length of a bare record it is too much
 HEADER = struct.Struct(">4sIIII")
 HEADER_BYTES = HEADER.size + 4
 BARE_HEAD = 8
@@ -18,7 +19,8 @@
 
 class Scan(NamedTuple):
     """What a file holds: the payloads, the bytes up to the first that can't be read, all bytes, and whether
-    something whole stands behind the unreadable (then `payloads` has it too)."""
+    something whole stands behind the unreadable (then `payloads` has it too).
+    """
 
     payloads: list[bytes]
     filled: int
@@ -33,8 +35,12 @@
         >>> scan(b"#!/bin/sh", 1).foreign, scan(pack(b"torn")[:-1], 1).foreign
         (True, False)
         """
-        return self.filled == 0 and not self.damaged and int.from_bytes(self.head, "big") >> 26 > 0 and not any(
-            ours == there for ours, there in zip(MARK, self.head))
+        return (
+            self.filled == 0
+            and not self.damaged
+            and int.from_bytes(self.head, "big") >> 26 > 0
+            and not any(ours == there for ours, there in zip(MARK, self.head))
+        )
 
 
 def number4(number: int) -> bytes:
@@ -72,10 +78,13 @@
     >>> header_at(group(1, 0, [b"a"]), 1, 0)[0], header_at(group(2, 0, [b"a"]), 1, 0)
     (5, None)
     """
-    header = data[at:at + HEADER_BYTES]
-    if len(header) < HEADER_BYTES or number4(zlib.crc32(header[:HEADER.size])) != header[HEADER.size:]:
+    header = data[at : at + HEADER_BYTES]
+    if (
+        len(header) < HEADER_BYTES
+        or number4(zlib.crc32(header[: HEADER.size])) != header[HEADER.size :]
+    ):
         return None
-    mark, in_file, offset, size, checksum = HEADER.unpack(header[:HEADER.size])
+    mark, in_file, offset, size, checksum = HEADER.unpack(header[: HEADER.size])
     return (size, checksum) if (mark, in_file, offset) == (MARK, number, at) else None
 
 
@@ -85,9 +94,17 @@
     >>> bare_at(pack(b"a"), 0), bare_at(bytes(8), 0)
     (b'a', None)
     """
-    size = int.from_bytes(data[at:at + 4], "big")
-    payload = data[at + BARE_HEAD:at + BARE_HEAD + size] if 0 < size <= len(data) - at - BARE_HEAD else b""
-    return payload if payload and number4(zlib.crc32(payload)) == data[at + 4:at + BARE_HEAD] else None
+    size = int.from_bytes(data[at : at + 4], "big")
+    payload = (
+        data[at + BARE_HEAD : at + BARE_HEAD + size]
+        if 0 < size <= len(data) - at - BARE_HEAD
+        else b""
+    )
+    return (
+        payload
+        if payload and number4(zlib.crc32(payload)) == data[at + 4 : at + BARE_HEAD]
+        else None
+    )
 
 
 def whole_at(data: bytes, number: int, at: int) -> tuple[list[bytes], int] | None:
@@ -101,13 +118,13 @@
         payload = bare_at(data, at)
         return None if payload is None else ([payload], at + BARE_HEAD + len(payload))
     end = at + HEADER_BYTES + header[0]
-    body = data[at + HEADER_BYTES:end]
+    body = data[at + HEADER_BYTES : end]
     if len(body) < header[0] or zlib.crc32(body) != header[1]:
         return None
     payloads, inside = [], 0
     while inside < len(body):
-        size = int.from_bytes(body[inside:inside + 4], "big")
-        payloads.append(body[inside + 4:inside + 4 + size])
+        size = int.from_bytes(body[inside : inside + 4], "big")
+        payloads.append(body[inside + 4 : inside + 4 + size])
         inside += 4 + size
     return payloads, end
 
--- a/sumacloom/programs.py
+++ b/sumacloom/programs.py
@@ -1,4 +1,5 @@
 """The command line, read by defopt."""
+
 import defopt
 
 from .daemon import run_daemon
@@ -22,13 +23,15 @@
 
 
 def run(arguments: list[str]) -> int:
-    """Runs the program that the arguments name.
-
-    >>> run.__name__
-    'run'
-    """
+    """Runs the program that the arguments name."""
     try:
-        return defopt.run({"counter": counter, "registrar": registrar, "fleet": COMMANDS}, argv=arguments,
-                          no_negated_flags=True) or 0
+        return (
+            defopt.run(
+                {"counter": counter, "registrar": registrar, "fleet": COMMANDS},
+                argv=arguments,
+                no_negated_flags=True,
+            )
+            or 0
+        )
     except SystemExit as end:
         return end.code if isinstance(end.code, int) else 2
--- a/sumacloom/registrar/access.py
+++ b/sumacloom/registrar/access.py
@@ -4,6 +4,7 @@
 that came before a reading began is confirmed by that reading. An offer comes into force when it has stood for longer
 than a lease: who has not seen it by then has no lease left. No list of members is needed for that.
 """
+
 from collections import deque
 
 from ..agreement.values import keep
@@ -15,7 +16,7 @@
 scribe = Scribe("access")
 KEY = "access"
 READ_S = 0.5
-ENFORCE_S = 3.3                  # longer than a counter's LEASE_S by more than its clock's tick
+ENFORCE_S = 3.3  # longer than a counter's LEASE_S by more than its clock's tick
 MOST_STAMPS = 32
 
 
@@ -34,16 +35,12 @@
     """When the list was last read at a majority, by this registrar."""
 
     def __init__(self, now: float):
-        self.read_at = -1e9              # when the last reading that succeeded began
+        self.read_at = -1e9  # when the last reading that succeeded began
         self.began_at, self.reading = -1e9, None
-        self.offered_at = now            # when this registrar first saw the present stage
+        self.offered_at = now  # when this registrar first saw the present stage
 
     def mind(self, office, now: float) -> None:
-        """Reads anew by the clock, if a list is in use.
-
-        >>> Readings.mind.__name__
-        'mind'
-        """
+        """Reads anew by the clock, if a list is in use."""
         if self.reading is not None and self.reading.outcome is not None:
             if self.reading.outcome.is_ok():
                 self.read_at = self.began_at
@@ -84,22 +81,21 @@
 
 
 def held(office) -> AccessValue | None:
-    """The value as this registrar knows it to be decided.
-
-    >>> held.__name__
-    'held'
-    """
+    """The value as this registrar knows it to be decided."""
     return rollout.held(office, KEY, AccessValue)
 
 
 def mind_access(office, now: float) -> None:
-    """Reads by the clock; as holder of the duty, puts an offer into force once no lease can be older.
-
-    >>> mind_access.__name__
-    'mind_access'
-    """
+    """Reads by the clock; as holder of the duty, puts an offer into force once no lease can be older."""
     office.readings.mind(office, now)
-    rollout.mind(office, KEY, AccessValue, lambda _value: now - office.readings.offered_at >= ENFORCE_S, scribe, now)
+    rollout.mind(
+        office,
+        KEY,
+        AccessValue,
+        lambda _value: now - office.readings.offered_at >= ENFORCE_S,
+        scribe,
+        now,
+    )
 
 
 def body_of(packed: bytes) -> bytes:
--- a/sumacloom/registrar/access_check.py
+++ b/sumacloom/registrar/access_check.py
@@ -1,4 +1,5 @@
 """The operator's access lists, read and checked with pydantic."""
+
 from ipaddress import ip_network
 from typing import Literal
 
@@ -57,7 +58,11 @@
     names = [rule.name for rule in model.rules]
     doubled = next((name for name in names if names.count(name) > 1 or name == DEFAULT), None)
     if doubled:
-        return Err(mishap("invalid_access", f"two rules are named '{doubled}', or it is the default's name"))
+        return Err(
+            mishap(
+                "invalid_access", f"two rules are named '{doubled}', or it is the default's name"
+            )
+        )
     seen = {}
     for text in model.networks:
         try:
@@ -65,9 +70,13 @@
         except ValueError as error:
             return Err(mishap("invalid_access", f"networks: {error}"))
         if network in seen:
-            return Err(mishap("invalid_access", f"networks: '{text}' is the same as '{seen[network]}'"))
+            return Err(
+                mishap("invalid_access", f"networks: '{text}' is the same as '{seen[network]}'")
+            )
         seen[network] = text
-    named = {*model.networks.values()} | {region for rule in model.rules for region in rule.regions} - {ANY, UNKNOWN}
+    named = {*model.networks.values()} | {
+        region for rule in model.rules for region in rule.regions
+    } - {ANY, UNKNOWN}
     strange = sorted(named - regions)
     if strange:
         return Err(mishap("unknown_region", f"there is no region '{strange[0]}'"))
--- a/sumacloom/registrar/caretaker.py
+++ b/sumacloom/registrar/caretaker.py
@@ -1,4 +1,5 @@
 """The failover duty at work: probes of suspected primaries, and the plans that services need."""
+
 import curio
 
 from ..agreement.values import DutyValue, decode
@@ -10,25 +11,17 @@
 scribe = Scribe("registrar")
 PROBE_S = 0.2
 DARK_S = 0.15
-LEAD_S = 2.5           # how long a promoted backend may take to say that it leads
+LEAD_S = 2.5  # how long a promoted backend may take to say that it leads
 LOOK_S = 0.05
 
 
 def may_act(shell) -> bool:
-    """Whether the failover duty is ours at this moment.
-
-    >>> may_act.__name__
-    'may_act'
-    """
+    """Whether the failover duty is ours at this moment."""
     return duties.holds_duty(shell.office, shell.now())
 
 
 async def probe(shell, record) -> None:
-    """Tries a suspected primary from here.
-
-    >>> probe.__name__
-    'probe'
-    """
+    """Tries a suspected primary from here."""
     roster, started = shell.office.roster, shell.now()
     outcome = await run_ask(shell, Ask(record, ""), cutoff_s=PROBE_CUTOFF_S)
     if outcome not in (None, "REFUSED", "WRONGHOST"):
@@ -41,14 +34,12 @@
 
 
 async def mind_backends(shell, now: float) -> None:
-    """Probes suspected primaries; as holder of the duty, starts the plans that services need.
-
-    >>> mind_backends.__name__
-    'mind_backends'
-    """
+    """Probes suspected primaries; as holder of the duty, starts the plans that services need."""
     office = shell.office
     roster, records = office.roster, office.board.records
-    for name in [name for name in roster.probed if name not in records or records[name].phase == "gone"]:
+    for name in [
+        name for name in roster.probed if name not in records or records[name].phase == "gone"
+    ]:
         del roster.probed[name]
     for name in roster.suspects(shell.settings.beat_ms / 1000, now):
         if name not in shell.probing:
@@ -61,13 +52,18 @@
         shell.duty_known = (office.duty.holder, office.duty.nonce)
         shell.doubts = dict.fromkeys(
             {record.service for record in records.values()} if office.duty.fence > 1 else set(),
-            Doubted(office.duty.fence - 1, tenure.first_call_at(office)))
+            Doubted(office.duty.fence - 1, tenure.first_call_at(office)),
+        )
     if now < tenure.first_call_at(office):
         return
     services = {}
     for record in records.values():
         services.setdefault(record.service, []).append(record)
-    known = {service.name: service for service in office.board.blueprint.svcs} if office.board.blueprint else {}
+    known = (
+        {service.name: service for service in office.board.blueprint.svcs}
+        if office.board.blueprint
+        else {}
+    )
     voters = len(office.acceptor.configuration.new)
     for service, members in services.items():
         if any(record.role == "primary" and record.phase != "gone" for record in members):
@@ -76,24 +72,32 @@
             shell.nobody_since.setdefault(service, now)
         if service in shell.plans or service not in known:
             continue
-        drawn = draw_plan(service, members, office.board.zones, lambda name: roster.dark_since(name, voters, now),
-                          known[service].sync_acks, now, DARK_S, shell.nobody_since.get(service),
-                          service in shell.doubts)
+        drawn = draw_plan(
+            service,
+            members,
+            office.board.zones,
+            lambda name: roster.dark_since(name, voters, now),
+            known[service].sync_acks,
+            now,
+            DARK_S,
+            shell.nobody_since.get(service),
+            service in shell.doubts,
+        )
         if drawn:
             shell.plans[service] = drawn[0]
             await curio.spawn(carry_out, shell, service, *drawn, daemon=True)
 
 
 async def carry_out(shell, service: str, name: str, plan) -> None:
-    """Runs one plan, after a majority has confirmed that the duty is ours.
-
-    >>> carry_out.__name__
-    'carry_out'
-    """
+    """Runs one plan, after a majority has confirmed that the duty is ours."""
     try:
         asked = await tenure.ask(shell)
         holding, result = tenure.Holding(shell.office.duty, asked), asked[1]
-        if result.is_err() or decode(DutyValue, result.ok()[1]) != holding.duty or not may_act(shell):
+        if (
+            result.is_err()
+            or decode(DutyValue, result.ok()[1]) != holding.duty
+            or not may_act(shell)
+        ):
             await curio.sleep(0.2)
             return
         scribe.say("%s for %s begins", name, service)
--- a/sumacloom/registrar/check.py
+++ b/sumacloom/registrar/check.py
@@ -1,4 +1,5 @@
 """The operator's blueprints, read and checked with pydantic."""
+
 from typing import Literal
 
 import msgspec
@@ -7,7 +8,7 @@
 from ..common.blueprint import decode_blueprint
 from ..common.results import Err, Ok, Result, mishap
 
-MOST_VERSION = (1 << 62) - 1         # what the register's encoding holds, with room to undo
+MOST_VERSION = (1 << 62) - 1  # what the register's encoding holds, with room to undo
 
 
 class RouteModel(BaseModel):
@@ -66,20 +67,26 @@
     try:
         model = BlueprintModel.model_validate_json(raw)
     except ValidationError as error:
-        return [describe(item) for item in error.errors(include_url=False, include_input=False)], None
+        return [
+            describe(item) for item in error.errors(include_url=False, include_input=False)
+        ], None
     try:
         decode_blueprint(raw)
     except msgspec.MsgspecError as error:
         return [mishap("invalid_field", f"the data plane can't read this: {error}")], None
     services = {service.name for service in model.svcs}
     mishaps = [
-        mishap("unknown_service", f"the route '{route.name}' names the unknown service '{route.svc}'")
-        for route in model.routes if route.svc not in services
+        mishap(
+            "unknown_service", f"the route '{route.name}' names the unknown service '{route.svc}'"
+        )
+        for route in model.routes
+        if route.svc not in services
     ]
     places = [(route.host, route.pfx) for route in model.routes]
     mishaps += [
         mishap("same_place", f"two routes share the host '{host}' and the prefix '{prefix}'")
-        for host, prefix in sorted(set(places)) if places.count((host, prefix)) > 1
+        for host, prefix in sorted(set(places))
+        if places.count((host, prefix)) > 1
     ]
     if len(services) < len(model.svcs):
         mishaps.append(mishap("invalid_field", "two services share a name"))
@@ -93,7 +100,9 @@
     'unreadable'
     """
     if item["type"] in ("json_invalid", "model_type", "model_attributes_type"):
-        return mishap("unreadable", f"the body is not a JSON object that can be read whole: {item['msg']}")
+        return mishap(
+            "unreadable", f"the body is not a JSON object that can be read whole: {item['msg']}"
+        )
     place = ".".join(map(str, item["loc"]))
     if place.endswith("tmoMs"):
         return mishap("zero_timeout", f"{place}: {item['msg']}")
--- a/sumacloom/registrar/ctl.py
+++ b/sumacloom/registrar/ctl.py
@@ -1,4 +1,5 @@
 """What a registrar serves at `ctl`: beats, blueprints, evacuations, and the admin API."""
+
 import re
 
 from ..agreement.values import BlueprintValue, decode, evacuate, keep, put_blueprint
@@ -7,8 +8,10 @@
 
 PATHS = []
 BEATS = "/api/instances/"
-OWN_ORDERS = ("/api/admin/log-level",)     # what may be ordered of a registrar that is cut off
-VIEW = "Sumacloom-View"                    # tells that a table is our own view, and for how many ms we have been alone
+OWN_ORDERS = ("/api/admin/log-level",)  # what may be ordered of a registrar that is cut off
+VIEW = (
+    "Sumacloom-View"  # tells that a table is our own view, and for how many ms we have been alone
+)
 
 
 def serves(method: str, pattern: str):
@@ -17,9 +20,11 @@
     >>> any(method == "PUT" for method, _pattern, _handler in PATHS)
     True
     """
+
     def register(function):
         PATHS.append((method, re.compile(pattern + "$"), function))
         return function
+
     return register
 
 
@@ -27,34 +32,37 @@
     """Finds the handler of a request; unknown paths and wrong methods get their statuses.
 
     Without a majority no order is taken, and nothing is refused for what only a majority knows.
-
-    >>> handle.__name__
-    'handle'
     """
     path, _mark, _query = request.path.partition("?")
     now, admin = shell.now(), path.startswith("/api/admin/")
-    own = path.startswith(BEATS) or path in OWN_ORDERS or (request.method == "GET" and path != "/api/config")
+    own = (
+        path.startswith(BEATS)
+        or path in OWN_ORDERS
+        or (request.method == "GET" and path != "/api/config")
+    )
     if not own and not shell.office.heard_majority(now):
         return mishap_reply(mishap("out_of_touch"))
-    matches = [(method, pattern.match(path), handler) for method, pattern, handler in PATHS if pattern.match(path)]
+    matches = [
+        (method, pattern.match(path), handler)
+        for method, pattern, handler in PATHS
+        if pattern.match(path)
+    ]
     for method, match, handler in matches:
         if method == request.method:
             reply = await handler(shell, request, *match.groups())
             if not admin or shell.office.settled(shell.now()):
                 return reply
-            if reply.status in (404, 409, 410, 422):          # judged by what we hold, and that may be old
+            if reply.status in (404, 409, 410, 422):  # judged by what we hold, and that may be old
                 return mishap_reply(mishap("out_of_touch"))
-            return reply._replace(headers=(*reply.headers, (VIEW, f"own {round(1000 * shell.unsettled_s())}")))
+            return reply._replace(
+                headers=(*reply.headers, (VIEW, f"own {round(1000 * shell.unsettled_s())}"))
+            )
     return mishap_reply(mishap("wrong_method" if matches else "no_route"))
 
 
 @serves("PUT", r"/api/instances/([^/]+)")
 async def put_instance(shell, request: Request, name: str) -> Reply:
-    """A backend's beat.
-
-    >>> put_instance.__name__
-    'put_instance'
-    """
+    """A backend's beat."""
     result = shell.office.roster.beat(name, request.body, shell.now())
     if result.is_err():
         return mishap_reply(result.err())
@@ -69,9 +77,6 @@
 
     Without a majority it is told to go on to another daemon: here it is heard all the same, so that
     where no registrar has a majority, no backend is given up as silent.
-
-    >>> acknowledge.__name__
-    'acknowledge'
     """
     if shell.office.heard_majority(shell.now()):
         return Reply(200, b"{}")
@@ -80,11 +85,7 @@
 
 @serves("DELETE", r"/api/instances/([^/]+)")
 async def delete_instance(shell, request: Request, name: str) -> Reply:
-    """A backend leaves.
-
-    >>> delete_instance.__name__
-    'delete_instance'
-    """
+    """A backend leaves."""
     record = shell.office.roster.leave(name, shell.now())
     if record:
         shell.office.tell_records([record], shell.now())
@@ -112,11 +113,7 @@
 
 
 async def decide_at_once(shell, request: Request, key: str, change):
-    """The outcome of an order without a number: a late copy looks like a new one, so it counts only while its caller waits.
-
-    >>> decide_at_once.__name__
-    'decide_at_once'
-    """
+    """The outcome of an order without a number: a late copy looks like a new one, so it counts only while its caller waits."""
     if shell.waking():
         return Err(mishap("stood_still"))
     return await shell.decide(key, unless_gone(request, change))
@@ -124,14 +121,11 @@
 
 @serves("PUT", r"/api/config")
 async def take_blueprint(shell, request: Request) -> Reply:
-    """The operator's blueprint: checked here, decided at a majority.
-
-    >>> take_blueprint.__name__
-    'take_blueprint'
-    """
+    """The operator's blueprint: checked here, decided at a majority."""
     if len(request.body) > shell.most_blueprint:
         return mishap_reply(mishap("too_large"))
-    from .check import check_blueprint          # pydantic is slow to import: only where blueprints arrive
+    from .check import check_blueprint  # pydantic is slow to import: only where blueprints arrive
+
     checked = check_blueprint(request.body)
     if checked.is_err():
         return mishap_reply(checked.err())
@@ -146,11 +140,7 @@
 
 @serves("GET", r"/api/config")
 async def give_blueprint(shell, request: Request) -> Reply:
-    """The newest blueprint, whole, as a majority holds it.
-
-    >>> give_blueprint.__name__
-    'give_blueprint'
-    """
+    """The newest blueprint, whole, as a majority holds it."""
     result = await shell.decide("blueprint", keep, reading=True)
     if result.is_err():
         return mishap_reply(result.err())
@@ -161,11 +151,7 @@
 
 
 async def order_evacuation(shell, request: Request, zone: str, wanted: bool) -> Reply:
-    """Empties a zone or takes it back; acknowledged once decided.
-
-    >>> order_evacuation.__name__
-    'order_evacuation'
-    """
+    """Empties a zone or takes it back; acknowledged once decided."""
     if zone not in shell.settings.zones:
         return mishap_reply(mishap("unknown_zone", f"there is no zone '{zone}'"))
     result = await decide_at_once(shell, request, "evacuations", evacuate(zone, wanted))
@@ -176,19 +162,11 @@
 
 @serves("POST", r"/api/drain/([^/]+)")
 async def post_drain(shell, request: Request, zone: str) -> Reply:
-    """Nothing more is to be sent to the zone's backends.
-
-    >>> post_drain.__name__
-    'post_drain'
-    """
+    """Nothing more is to be sent to the zone's backends."""
     return await order_evacuation(shell, request, zone, True)
 
 
 @serves("DELETE", r"/api/drain/([^/]+)")
 async def delete_drain(shell, request: Request, zone: str) -> Reply:
-    """The zone's backends may be used again.
-
-    >>> delete_drain.__name__
-    'delete_drain'
-    """
+    """The zone's backends may be used again."""
     return await order_evacuation(shell, request, zone, False)
--- a/sumacloom/registrar/errands.py
+++ b/sumacloom/registrar/errands.py
@@ -1,4 +1,5 @@
 """Runs the commands of plans: texts for backends over a wire of their own, calls to the platform."""
+
 from typing import NamedTuple
 
 import curio
@@ -16,7 +17,7 @@
 scribe = Scribe("failover")
 ASK_CUTOFF_S = 0.7
 PROBE_CUTOFF_S = 0.3
-OTHERS_S = 0.15       # how long the rest of a batch is waited for once one has answered
+OTHERS_S = 0.15  # how long the rest of a batch is waited for once one has answered
 PROMOTE_CUTOFF_S = 1.2
 STOOD_STILL_S = 0.6
 
@@ -35,20 +36,12 @@
 
 
 def stood_still(shell, since: float) -> bool:
-    """Whether this process was frozen at some point since: the duty, and all that was heard, may be out of date.
-
-    >>> stood_still.__name__
-    'stood_still'
-    """
+    """Whether this process was frozen at some point since: the duty, and all that was heard, may be out of date."""
     return shell.stood_still_at >= since or shell.now() - shell.ticked_at > STOOD_STILL_S
 
 
 def note_tick(shell, now: float) -> None:
-    """The clock ticks; a long gap since the last tick is remembered as a standstill.
-
-    >>> note_tick.__name__
-    'note_tick'
-    """
+    """The clock ticks; a long gap since the last tick is remembered as a standstill."""
     if now - shell.ticked_at > STOOD_STILL_S:
         shell.stood_still_at = now
     shell.ticked_at = now
@@ -60,14 +53,18 @@
     >>> Ask in RUNNERS
     True
     """
+
     def register(function):
         RUNNERS[kind] = function
         return function
+
     return register
 
 
 @runs(Ask)
-async def run_ask(shell, command: Ask, _holding=None, cutoff_s: float = ASK_CUTOFF_S) -> Row | str | None:
+async def run_ask(
+    shell, command: Ask, _holding=None, cutoff_s: float = ASK_CUTOFF_S
+) -> Row | str | None:
     """One text for one backend: its row, an error code, REFUSED if nothing listens there, or None for silence.
 
     >>> RUNNERS[Ask] is run_ask
@@ -79,22 +76,25 @@
             sock = await dial(*address)
             async with sock:
                 splitter = LineSplitter()
-                await sock.sendall(encode(
-                    f"LOGIN {command.backend.service} {shell.settings.node} {command.backend.name}"))
+                await sock.sendall(
+                    encode(
+                        f"LOGIN {command.backend.service} {shell.settings.node} {command.backend.name}"
+                    )
+                )
                 line = (await read_lines(sock, splitter, ("READY", "ERR")))[-1]
                 if line.startswith("ERR"):
                     return line.split(" ")[1]
                 if not command.text:
                     return "READY"
                 if shell.now() - started > cutoff_s:
-                    return None              # we stood still: what the plan meant to say may be out of date
+                    return None  # we stood still: what the plan meant to say may be out of date
                 await sock.sendall(encode(f"QUERY - {command.text}"))
                 lines = await read_lines(sock, splitter, ("DONE", "ERR"))
                 await sock.sendall(encode("QUIT"))
     except ConnectionRefusedError:
         return "REFUSED"
     except ConnectionResetError:
-        return "RESET"           # it took the connection before it ended it: crowded, not dead
+        return "RESET"  # it took the connection before it ended it: crowded, not dead
     except (OSError, curio.TaskTimeout, IndexError):
         return None
     if lines[-1].startswith("ERR"):
@@ -104,11 +104,7 @@
 
 
 async def read_lines(sock, splitter: LineSplitter, ends: tuple) -> list[str]:
-    """Reads lines up to one that starts with a word of `ends`.
-
-    >>> read_lines.__name__
-    'read_lines'
-    """
+    """Reads lines up to one that starts with a word of `ends`."""
     lines = []
     while not any(line.split(" ")[0] in ends for line in lines):
         data = await sock.recv(65536)
@@ -145,7 +141,9 @@
         try:
             if await tenure.confirm(shell, holding, await asking.join()):
                 left.append(shell.doubts.get(command.service))
-                shell.doubts[command.service] = Doubted(holding.duty.fence, shell.now() + tenure.FLIGHT_S)
+                shell.doubts[command.service] = Doubted(
+                    holding.duty.fence, shell.now() + tenure.FLIGHT_S
+                )
                 return sock
         except BaseException:
             await sock.close()
@@ -157,14 +155,25 @@
     shell.platform_calls.append(shell.now() + pause)
     if pause:
         await curio.sleep(pause)
-    status, _headers, _body = await call(dial_confirmed, address, "POST", "/promote", body, headers, PROMOTE_CUTOFF_S)
+    status, _headers, _body = await call(
+        dial_confirmed, address, "POST", "/promote", body, headers, PROMOTE_CUTOFF_S
+    )
     if 200 <= status < 300:
         shell.doubts.pop(command.service, None)
         shell.doubts.update({command.service: before for before in left if before})
     if not left:
-        scribe.say("no promotion of %s for %s: no connection, or the duty is not confirmed", command.backend, command.service)
+        scribe.say(
+            "no promotion of %s for %s: no connection, or the duty is not confirmed",
+            command.backend,
+            command.service,
+        )
         return None
-    scribe.say("the platform answered %d to the promotion of %s for %s", status, command.backend, command.service)
+    scribe.say(
+        "the platform answered %d to the promotion of %s for %s",
+        status,
+        command.backend,
+        command.service,
+    )
     return status
 
 
@@ -209,8 +218,11 @@
     >>> RUNNERS[Look] is run_look
     True
     """
-    return {record.name for record in shell.office.board.records.values()
-            if record.service == command.service and record.phase != "gone" and record.role != "primary"}
+    return {
+        record.name
+        for record in shell.office.board.records.values()
+        if record.service == command.service and record.phase != "gone" and record.role != "primary"
+    }
 
 
 @runs(Rest)
@@ -227,19 +239,24 @@
     """Runs commands side by side; gives each one's outcome.
 
     Once a backend has answered, the silent ones are waited for a little only, but for patient commands.
-
-    >>> run_batch.__name__
-    'run_batch'
     """
     outcomes = dict.fromkeys(commands)
 
-    tasks = {command: await curio.spawn(RUNNERS[type(command)], shell, command, holding) for command in commands}
+    tasks = {
+        command: await curio.spawn(RUNNERS[type(command)], shell, command, holding)
+        for command in commands
+    }
     first_at = None
     while any(not task.terminated for task in tasks.values()):
         if first_at is None and any(
-                task.terminated and isinstance(task.result, Row) for task in tasks.values()):
+            task.terminated and isinstance(task.result, Row) for task in tasks.values()
+        ):
             first_at = shell.now()
-        patient = any(not task.terminated for command, task in tasks.items() if isinstance(command, Ask) and command.patient)
+        patient = any(
+            not task.terminated
+            for command, task in tasks.items()
+            if isinstance(command, Ask) and command.patient
+        )
         if not patient and first_at is not None and shell.now() - first_at >= OTHERS_S:
             break
         await curio.sleep(0.01)
@@ -252,11 +269,7 @@
 
 
 async def run_plan(shell, plan, holding: tenure.Holding):
-    """Walks a plan to its end; gives what it returns. Stops if the duty is lost, or if we stood still meanwhile.
-
-    >>> run_plan.__name__
-    'run_plan'
-    """
+    """Walks a plan to its end; gives what it returns. Stops if the duty is lost, or if we stood still meanwhile."""
     began_at = shell.now()
     try:
         commands = next(plan)
--- a/sumacloom/registrar/failover.py
+++ b/sumacloom/registrar/failover.py
@@ -3,6 +3,7 @@
 A plan touches no socket: it yields a list of commands (Ask, Promote, Announce, Fence, ...) and receives a dict
 from command to outcome. So every schedule of lost answers can be played as a table.
 """
+
 from typing import NamedTuple
 
 from ..common.types import Position, read_position
@@ -11,7 +12,7 @@
 CATCH_UP_TRIES = 20
 SOON_S = 2.0
 LEAD_TRIES = 40
-MOST_BEHIND, MOST_LAG_MS = 300, 1000.0     # further back, a replica would not catch up in time
+MOST_BEHIND, MOST_LAG_MS = 300, 1000.0  # further back, a replica would not catch up in time
 
 
 class Ask(NamedTuple):
@@ -19,7 +20,7 @@
 
     backend: Record
     text: str
-    patient: bool = False        # whether a batch waits for its silent backends to the cutoff
+    patient: bool = False  # whether a batch waits for its silent backends to the cutoff
 
 
 class Promote(NamedTuple):
@@ -89,7 +90,11 @@
     >>> rows_of({})
     {}
     """
-    return {ask.backend: row for ask, row in results.items() if isinstance(ask, Ask) and isinstance(row, Row)}
+    return {
+        ask.backend: row
+        for ask, row in results.items()
+        if isinstance(ask, Ask) and isinstance(row, Row)
+    }
 
 
 def best_of(rows: dict[Record, Row]) -> Record:
@@ -117,7 +122,13 @@
     return False if 400 <= status < 500 and status not in (408, 429) else None
 
 
-def replace_dead(service: str, dead: Record | None, replicas: list[Record], sync_acks: int, doubtful: bool = False):
+def replace_dead(
+    service: str,
+    dead: Record | None,
+    replicas: list[Record],
+    sync_acks: int,
+    doubtful: bool = False,
+):
     """The primary is dark: freezes the replicas if need be, draws the furthest, promotes it.
 
     Gives the name of the backend that leads now, or nothing; a promotion that got no clear answer is not
@@ -133,7 +144,13 @@
     everyone = replicas + ([dead] if dead else [])
     if doubtful and not (yield from raise_fence(service)):
         return ""
-    rows = rows_of((yield [Ask(backend, "STAT", sync_acks > 0 and backend is not dead) for backend in everyone]))
+    rows = rows_of(
+        (
+            yield [
+                Ask(backend, "STAT", sync_acks > 0 and backend is not dead) for backend in everyone
+            ]
+        )
+    )
     leads = leading(rows)
     if leads:
         return (yield from confirm(service, leads, rows)) if sync_acks else leads.name
@@ -146,7 +163,11 @@
         rows = {backend: row for backend, row in rows.items() if row.held > newest}
         look = Look(service)
         there = (yield [look])[look]
-        if not rows or len(replicas) - len(rows) >= sync_acks or not there <= {backend.name for backend in everyone}:
+        if (
+            not rows
+            or len(replicas) - len(rows) >= sync_acks
+            or not there <= {backend.name for backend in everyone}
+        ):
             if not doubtful:
                 yield [Ask(backend, "CONT") for backend in rows] or [Rest(0.2)]
             return ""
@@ -174,7 +195,10 @@
     True
     """
     newest = max((row.term for row in rows.values()), default=0)
-    return next((backend for backend, row in rows.items() if row.role == "primary" and row.term == newest), None)
+    return next(
+        (backend for backend, row in rows.items() if row.role == "primary" and row.term == newest),
+        None,
+    )
 
 
 def release(target: Record, others: list[Record]):
@@ -200,7 +224,9 @@
     """
     frozen = [backend for backend, row in rows.items() if row.held > rows[leads].term]
     if frozen:
-        command = Promote(service, leads.name)      # the present primary: nothing changes but the fence seen
+        command = Promote(
+            service, leads.name
+        )  # the present primary: nothing changes but the fence seen
         if not 200 <= ((yield [command])[command] or 0) < 300:
             return ""
         yield [Ask(backend, "CONT") for backend in frozen]
@@ -220,7 +246,9 @@
     return (yield from confirm(service, leads, rows)) if leads else ""
 
 
-def hand_over(service: str, leaver: Record, replicas: list[Record], sync_acks: int = 0, doubtful: bool = False):
+def hand_over(
+    service: str, leaver: Record, replicas: list[Record], sync_acks: int = 0, doubtful: bool = False
+):
     """The primary is to go, in order: it steps down, a replica catches up, that one is promoted.
 
     >>> plan = hand_over("s", Record("p", "s", "a", "z"), [Record("i", "s", "a", "z")])
@@ -269,11 +297,24 @@
     True
     """
     behind = own.position.number - row.position.number
-    return row.position.term == own.position.term and behind <= MOST_BEHIND and row.lag_ms <= MOST_LAG_MS
-
-
-def draw_plan(service: str, records: list[Record], zones: list[str], dark_since, sync_acks: int, now: float,
-              dark_s: float, nobody_since: float | None, doubtful: bool = False):
+    return (
+        row.position.term == own.position.term
+        and behind <= MOST_BEHIND
+        and row.lag_ms <= MOST_LAG_MS
+    )
+
+
+def draw_plan(
+    service: str,
+    records: list[Record],
+    zones: list[str],
+    dark_since,
+    sync_acks: int,
+    now: float,
+    dark_s: float,
+    nobody_since: float | None,
+    doubtful: bool = False,
+):
     """The plan that a service needs now, if any: (name, plan).
 
     >>> primary = Record("p", "s", "a", "z", role="primary")
@@ -286,23 +327,30 @@
     primaries = [record for record in there if record.role == "primary"]
     replicas = [record for record in there if record.role != "primary"]
     good = [record for record in replicas if record.phase == "up" and record.zone not in zones] or [
-        record for record in replicas if record.phase == "up"]
+        record for record in replicas if record.phase == "up"
+    ]
     if not good:
         return None
     if not primaries:
         if nobody_since is None or now - nobody_since < dark_s:
             return None
-        return "replace_dead", replace_dead(service, None, replicas if sync_acks else good, sync_acks, doubtful)
+        return "replace_dead", replace_dead(
+            service, None, replicas if sync_acks else good, sync_acks, doubtful
+        )
     living = [record for record in primaries if dark_since(record.name) is None]
     if not living:
         since = max(dark_since(record.name) for record in primaries)
         if now - since < dark_s:
             return None
-        return "replace_dead", replace_dead(service, primaries[0], replicas if sync_acks else good, sync_acks, doubtful)
+        return "replace_dead", replace_dead(
+            service, primaries[0], replicas if sync_acks else good, sync_acks, doubtful
+        )
     leaver = living[0]
     elsewhere = [record for record in good if record.zone not in zones]
     if len(living) == 1 and leaver.phase == "draining" and good:
-        return "hand_over", hand_over(service, leaver, replicas if sync_acks else good, sync_acks, doubtful)
+        return "hand_over", hand_over(
+            service, leaver, replicas if sync_acks else good, sync_acks, doubtful
+        )
     if len(living) == 1 and leaver.zone in zones and elsewhere:
         return "hand_over", hand_over(service, leaver, elsewhere, sync_acks, doubtful)
     if doubtful and sync_acks:
--- a/sumacloom/registrar/feed.py
+++ b/sumacloom/registrar/feed.py
@@ -1,4 +1,5 @@
 """The feed of one database: the items that listeners take, each once; a register, changed by any registrar."""
+
 import msgspec
 
 from ..agreement.values import decode, encode
@@ -11,7 +12,7 @@
 class Item(msgspec.Struct, array_like=True):
     number: int
     text: str
-    doubtful: bool               # its commit may or may not be kept: no answer of the backend came
+    doubtful: bool  # its commit may or may not be kept: no answer of the backend came
 
 
 class Feed(msgspec.Struct, array_like=True):
@@ -20,8 +21,8 @@
     next: int = 1
     items: list[Item] = []
     seen: dict[int, list[list[int]]] = {}
-    cursors: dict[str, int] = {}             # listener: the first number that it has not yet acknowledged
-    lapsed: dict[str, int] = {}              # listener that was too slow: how many items it missed
+    cursors: dict[str, int] = {}  # listener: the first number that it has not yet acknowledged
+    lapsed: dict[str, int] = {}  # listener that was too slow: how many items it missed
 
     def has(self, life: int, number: int) -> bool:
         """Whether the item of that life and number is behind us.
@@ -44,7 +45,7 @@
                 joined[-1][1] = max(joined[-1][1], high)
             else:
                 joined.append([low, high])
-        self.seen[life] = joined                         # the life heard of last stands last
+        self.seen[life] = joined  # the life heard of last stands last
         while len(self.seen) > MOST_LIVES:
             del self.seen[next(iter(self.seen))]
 
@@ -58,8 +59,10 @@
         while True:
             least = min(self.cursors.values(), default=self.next)
             self.items = [item for item in self.items if item.number >= least]
-            if not self.cursors or (len(self.items) <= MOST_ITEMS
-                                    and sum(len(item.text) for item in self.items) <= MOST_BYTES):
+            if not self.cursors or (
+                len(self.items) <= MOST_ITEMS
+                and sum(len(item.text) for item in self.items) <= MOST_BYTES
+            ):
                 return
             slowest = min(self.cursors, key=self.cursors.get)
             self.lapsed[slowest] = self.next - self.cursors.pop(slowest)
@@ -71,10 +74,12 @@
     >>> changing(lambda feed: Ok(False))(None)
     Ok(None)
     """
+
     def change(current_bytes):
         feed = decode(Feed, current_bytes) or Feed()
         result = function(feed)
         return result if result.is_err() else Ok(encode(feed) if result.ok() else None)
+
     return change
 
 
@@ -85,6 +90,7 @@
     >>> feed = decode(Feed, once(joined).ok()); [item.text for item in feed.items], once(once(joined).ok())
     (['PUT a b'], Ok(None))
     """
+
     def alter(feed):
         fresh = [entry for entry in entries if not feed.has(*entry[:2])]
         for life, number, text, kind in fresh:
@@ -96,6 +102,7 @@
                 feed.next += 1
         feed.trim()
         return Ok(bool(fresh))
+
     return changing(alter)
 
 
@@ -105,12 +112,14 @@
     >>> decode(Feed, join("desk")(None).ok()).cursors
     {'desk': 1}
     """
+
     def alter(feed):
         if name in feed.cursors:
             return Ok(False)
         feed.lapsed.pop(name, None)
         feed.cursors[name] = feed.next
         return Ok(True)
+
     return changing(alter)
 
 
@@ -120,11 +129,13 @@
     >>> decode(Feed, leave("desk")(join("desk")(None).ok()).ok()).cursors
     {}
     """
+
     def alter(feed):
         there = name in feed.cursors or name in feed.lapsed
         feed.cursors.pop(name, None), feed.lapsed.pop(name, None)
         feed.trim()
         return Ok(there)
+
     return changing(alter)
 
 
@@ -134,17 +145,34 @@
     >>> acknowledge("desk", 9)(join("desk")(None).ok()).err().name
     'cursor_ahead'
     """
+
     def alter(feed):
         if name in feed.lapsed:
-            return Err(mishap("lapsed", f"the listener was too slow and missed {feed.lapsed[name]} items; listen anew"))
+            return Err(
+                mishap(
+                    "lapsed",
+                    f"the listener was too slow and missed {feed.lapsed[name]} items; listen anew",
+                )
+            )
         if name not in feed.cursors:
             return Err(mishap("no_listener"))
         if cursor > feed.next:
-            return Err(mishap("cursor_ahead", f"the cursor {cursor} is ahead of the feed, whose next item is {feed.next}"))
+            return Err(
+                mishap(
+                    "cursor_ahead",
+                    f"the cursor {cursor} is ahead of the feed, whose next item is {feed.next}",
+                )
+            )
         if cursor < feed.cursors[name]:
-            return Err(mishap("cursor_behind", f"all below {feed.cursors[name]} was acknowledged and is no longer kept"))
+            return Err(
+                mishap(
+                    "cursor_behind",
+                    f"all below {feed.cursors[name]} was acknowledged and is no longer kept",
+                )
+            )
         moved = cursor > feed.cursors[name]
         feed.cursors[name] = cursor
         feed.trim()
         return Ok(moved)
+
     return changing(alter)
--- a/sumacloom/registrar/hearing.py
+++ b/sumacloom/registrar/hearing.py
@@ -1,6 +1,7 @@
 """What a registrar does with its peers' heartbeats."""
+
 from ..agreement.contact import newest_ballots
-from ..agreement.hearing import KNOWN_S, hear_decided, hear_configuration, hears
+from ..agreement.hearing import KNOWN_S, hear_configuration, hear_decided, hears
 from ..agreement.messages import Decided, Reconfigured
 from ..common.logs import Scribe
 from ..common.types import NO_BALLOT, Ballot
@@ -11,22 +12,36 @@
 
 @hears(PeerBeat)
 def hear_peer_beat(office, peer: str, message, now: float) -> None:
-    """A peer's heartbeat.
-
-    >>> hear_peer_beat.__name__
-    'hear_peer_beat'
-    """
+    """A peer's heartbeat."""
     if not office.alive(peer, now):
         scribe.say("the registrar %s is heard", peer)
-        office.beaten_at = -1e9                     # it is answered at once: contact is known the sooner
-    if message.tolerates not in (0, office.settings.tolerate.nodes, office.peers[peer][1].tolerates if peer in office.peers else 0):
-        scribe.warn("tolerate.nodes is %d at %s and %d here: the most that a voter says is kept to", message.tolerates, peer,
-                    office.settings.tolerate.nodes)
+        office.beaten_at = -1e9  # it is answered at once: contact is known the sooner
+    if message.tolerates not in (
+        0,
+        office.settings.tolerate.nodes,
+        office.peers[peer][1].tolerates if peer in office.peers else 0,
+    ):
+        scribe.warn(
+            "tolerate.nodes is %d at %s and %d here: the most that a voter says is kept to",
+            message.tolerates,
+            peer,
+            office.settings.tolerate.nodes,
+        )
     office.peers[peer] = (now, message)
     office.contact.hear(peer, message.hears.get(office.me))
     if message.decided is not None:
-        office.contact.hear_ballots(peer, message.hears.get(office.me), newest_ballots(message.decided, message.undecided))
-    office.known.update({peer: now, **{other: max(now - KNOWN_S / 2, office.known.get(other, 0.0)) for other in message.hears}})
+        office.contact.hear_ballots(
+            peer, message.hears.get(office.me), newest_ballots(message.decided, message.undecided)
+        )
+    office.known.update(
+        {
+            peer: now,
+            **{
+                other: max(now - KNOWN_S / 2, office.known.get(other, 0.0))
+                for other in message.hears
+            },
+        }
+    )
     office.roster.hear_peer(peer, message, now)
     office.members.hear_peer(peer, message.sessions, now)
     if message.records:
--- a/sumacloom/registrar/lanes.py
+++ b/sumacloom/registrar/lanes.py
@@ -4,6 +4,7 @@
 offer into force when every counter known to any registrar holds the offer; one that has just left is
 waited for until its own lease has surely run out, after which it calls itself unready.
 """
+
 from ..common.logs import Scribe
 from ..courier.news import LaneNews
 from . import rollout
@@ -43,10 +44,15 @@
 
 
 def mind_lanes(office, now: float) -> None:
-    """As holder of the duty: puts an offer into force once every counter holds it.
-
-    >>> mind_lanes.__name__
-    'mind_lanes'
-    """
-    rollout.mind(office, KEY, LanesValue, lambda value: now - office.lanes_at >= rollout.OFFER_S
-                 and not office.members.lacking(value.order, now), scribe, now)
+    """As holder of the duty: puts an offer into force once every counter holds it."""
+    rollout.mind(
+        office,
+        KEY,
+        LanesValue,
+        lambda value: (
+            now - office.lanes_at >= rollout.OFFER_S
+            and not office.members.lacking(value.order, now)
+        ),
+        scribe,
+        now,
+    )
--- a/sumacloom/registrar/members.py
+++ b/sumacloom/registrar/members.py
@@ -1,14 +1,15 @@
 """Members: the counters in session here, and those that the peers tell of."""
+
 from bisect import bisect_left
 from typing import NamedTuple
 
 from ..common.logs import Scribe
 
 scribe = Scribe("roster")
-SESSION_S = 2.5          # a quiet session ends after this; longer than a counter's own lease
-REMEMBER_S = 120.0       # a counter gone without a word is named for so long where all must agree
+SESSION_S = 2.5  # a quiet session ends after this; longer than a counter's own lease
+REMEMBER_S = 120.0  # a counter gone without a word is named for so long where all must agree
 GOODBYE_S = 10.0
-LEFT, BYE, GONE = -1, -2, -3       # in place of what a counter holds of the lanes
+LEFT, BYE, GONE = -1, -2, -3  # in place of what a counter holds of the lanes
 
 
 class Session(NamedTuple):
@@ -21,7 +22,7 @@
     zone: str
     address: str
     heard_at: float
-    lanes: int = 0           # what it holds of the lanes and of the listeners, as its digest says
+    lanes: int = 0  # what it holds of the lanes and of the listeners, as its digest says
     listeners: int = 0
     life: int = 0
 
@@ -31,14 +32,24 @@
 
     def __init__(self):
         self.sessions: dict[str, Session] = {}
-        self.siblings: dict[str, list[str]] = {}   # the sessions of a zone in order, until one comes or goes
+        self.siblings: dict[
+            str, list[str]
+        ] = {}  # the sessions of a zone in order, until one comes or goes
         self.departed: dict[str, float] = {}
-        self.goodbyes: dict[str, float] = {}       # counters that ended in order
-        self.seen: dict[str, tuple] = {}           # counters, wherever in session: node: (zone, when last)
-        self.peers: dict[str, tuple] = {}          # peer: (heard at, [(node, zone, address, lanes)])
-
-    def hear(self, node: str, zone: str, address: str, now: float, lanes: int = 0, listeners: int = 0,
-             life: int = 0) -> bool:
+        self.goodbyes: dict[str, float] = {}  # counters that ended in order
+        self.seen: dict[str, tuple] = {}  # counters, wherever in session: node: (zone, when last)
+        self.peers: dict[str, tuple] = {}  # peer: (heard at, [(node, zone, address, lanes)])
+
+    def hear(
+        self,
+        node: str,
+        zone: str,
+        address: str,
+        now: float,
+        lanes: int = 0,
+        listeners: int = 0,
+        life: int = 0,
+    ) -> bool:
         """A counter's heartbeat; tells whether its session is new.
 
         >>> Members().hear("edge-1", "z", "10.0.0.1:7441", 0.0)
@@ -83,7 +94,10 @@
         >>> Members().told()
         []
         """
-        lost = [(node, zone, "", GONE, 0, int(now - seen)) for node, (zone, seen) in self.lost(now).items()]
+        lost = [
+            (node, zone, "", GONE, 0, int(now - seen))
+            for node, (zone, seen) in self.lost(now).items()
+        ]
         return self.own_rows() + lost
 
     def own_rows(self) -> list[tuple]:
@@ -94,8 +108,14 @@
         """
         left = [(node, "", "", LEFT, 0, 0) for node in self.departed if node not in self.sessions]
         byes = [(node, "", "", BYE, 0, 0) for node in self.goodbyes if node not in self.sessions]
-        return [(node, one.zone, one.address, one.lanes, one.listeners, one.life)
-                for node, one in self.sessions.items()] + left + byes
+        return (
+            [
+                (node, one.zone, one.address, one.lanes, one.listeners, one.life)
+                for node, one in self.sessions.items()
+            ]
+            + left
+            + byes
+        )
 
     def lost(self, now: float) -> dict[str, tuple[str, float]]:
         """Counters that ended without a word and are in session nowhere: node to (zone, when last seen).
@@ -105,7 +125,11 @@
         {'edge-1': ('z', 0.1)}
         """
         there = self.rows(now)
-        return {node: found for node, found in self.seen.items() if there.get(node, ("", "", LEFT))[2] < 0}
+        return {
+            node: found
+            for node, found in self.seen.items()
+            if there.get(node, ("", "", LEFT))[2] < 0
+        }
 
     def rows(self, now: float) -> dict[str, tuple]:
         """What is told of each counter anywhere; what a standing session says goes first.
@@ -113,7 +137,9 @@
         >>> members = Members(); _fresh = members.hear("edge-1", "z", "a", 0.0, 4, 2, 9); members.rows(1.0)
         {'edge-1': ('z', 'a', 4, 2, 9)}
         """
-        told = [row for heard, rows in self.peers.values() if now - heard < SESSION_S for row in rows]
+        told = [
+            row for heard, rows in self.peers.values() if now - heard < SESSION_S for row in rows
+        ]
         found = {}
         for node, *row in [*told, *self.own_rows()]:
             if node not in found or row[2] > found[node][2]:
@@ -134,7 +160,9 @@
         >>> members = Members(); _fresh = members.hear("edge-1", "z", "a", 0.0); members.unaware(1, 0.0)
         ['edge-1']
         """
-        behind = {node for node, row in self.rows(now).items() if row[2] >= 0 and row[3] < generation}
+        behind = {
+            node for node, row in self.rows(now).items() if row[2] >= 0 and row[3] < generation
+        }
         return sorted(behind | {*self.lost(now)})
 
     def lives(self, now: float) -> dict[str, int]:
@@ -159,7 +187,9 @@
         >>> members = Members(); _fresh = members.hear("edge-1", "z", "a", 0.0, 2); members.lacking(4, 0.0)
         ['edge-1']
         """
-        return sorted(node for node, (_zone, _address, held) in self.all(now).items() if held < lanes)
+        return sorted(
+            node for node, (_zone, _address, held) in self.all(now).items() if held < lanes
+        )
 
     def parent(self, node: str, home: str, fan: int) -> str:
         """Where a counter takes its news from: an address, or nothing for the registrar itself.
@@ -174,7 +204,9 @@
         """
         zone = self.sessions[node].zone
         if zone not in self.siblings:
-            self.siblings[zone] = sorted(name for name, session in self.sessions.items() if session.zone == zone)
+            self.siblings[zone] = sorted(
+                name for name, session in self.sessions.items() if session.zone == zone
+            )
         siblings = self.siblings[zone]
         place = bisect_left(siblings, node)
         direct = fan if zone == home else 1
@@ -185,11 +217,17 @@
 
         >>> Members().sweep(0.0)
         """
-        for node in [node for node, session in self.sessions.items() if now - session.heard_at > SESSION_S]:
+        for node in [
+            node for node, session in self.sessions.items() if now - session.heard_at > SESSION_S
+        ]:
             self.end(node, now)
         for node in [node for node, left in self.departed.items() if now - left > SESSION_S]:
             del self.departed[node]
-        for node in [node for node, left in self.goodbyes.items() if now - left > GOODBYE_S or node in self.sessions]:
+        for node in [
+            node
+            for node, left in self.goodbyes.items()
+            if now - left > GOODBYE_S or node in self.sessions
+        ]:
             del self.goodbyes[node]
         for node, row in self.rows(now).items():
             if row[2] >= 0:
--- a/sumacloom/registrar/pooling.py
+++ b/sumacloom/registrar/pooling.py
@@ -1,4 +1,5 @@
 """Pool modes at the registrars: a register that every registrar changes by what its counters say, in batches."""
+
 import json
 
 import msgspec
@@ -40,7 +41,11 @@
     generation = value.generation + 1
     changed = {row.database: msgspec.structs.replace(row, since=generation) for row in rows}
     kept = [row for row in value.rows if row.database not in changed]
-    return encode(PoolValue(generation, sorted([*kept, *changed.values()], key=lambda row: row.database)[:MOST_ROWS]))
+    return encode(
+        PoolValue(
+            generation, sorted([*kept, *changed.values()], key=lambda row: row.database)[:MOST_ROWS]
+        )
+    )
 
 
 def judge(minds: list[tuple]):
@@ -51,6 +56,7 @@
     >>> back = judge([("books", "", "transaction", 1)])(value).ok(); decode(PoolValue, back).rows[0].strikes
     1
     """
+
     def change(current_bytes):
         current = decode(PoolValue, current_bytes) or PoolValue()
         rows = {row.database: row for row in current.rows}
@@ -61,11 +67,18 @@
                 continue
             if who:
                 if who not in row.exceptions and row.mode == "statement":
-                    changed[database] = msgspec.structs.replace(row, exceptions=[*row.exceptions, who][-MOST_EXCEPTIONS:])
+                    changed[database] = msgspec.structs.replace(
+                        row, exceptions=[*row.exceptions, who][-MOST_EXCEPTIONS:]
+                    )
             elif mode != row.mode:
-                strikes = min(MOST_STRIKES, row.strikes + (mode == "transaction" and database in rows))
-                changed[database] = msgspec.structs.replace(row, mode=mode, strikes=strikes, exceptions=[])
+                strikes = min(
+                    MOST_STRIKES, row.strikes + (mode == "transaction" and database in rows)
+                )
+                changed[database] = msgspec.structs.replace(
+                    row, mode=mode, strikes=strikes, exceptions=[]
+                )
         return Ok(put(current, list(changed.values())) if changed else None)
+
     return change
 
 
@@ -77,6 +90,7 @@
     >>> pin("books", "auto", base=0)(value).err().name
     'stale_match'
     """
+
     def change(current_bytes):
         current = decode(PoolValue, current_bytes) or PoolValue()
         row = next((row for row in current.rows if row.database == database), None)
@@ -84,19 +98,18 @@
         if row and (row.mode, row.pinned) == (wanted.mode, wanted.pinned):
             return Ok(None)
         if base is not None and base != current.generation:
-            return Err(mishap("stale_match", f"the current generation is {current.generation}, not {base}"))
+            return Err(
+                mishap("stale_match", f"the current generation is {current.generation}, not {base}")
+            )
         if row is None and mode == "auto":
             return Ok(None)
         return Ok(put(current, [wanted]))
+
     return change
 
 
 def mind_pooling(office, now: float) -> None:
-    """Proposes what the counters in session here have changed their minds on, every few seconds.
-
-    >>> mind_pooling.__name__
-    'mind_pooling'
-    """
+    """Proposes what the counters in session here have changed their minds on, every few seconds."""
     if not office.minds or now - office.minded_at < BATCH_S or not office.acceptor.learned:
         return
     if any(proposal.key == KEY for proposal in office.proposals) or not office.heard_majority(now):
@@ -107,57 +120,78 @@
 
 
 def hear_minds(office, minds: list[tuple]) -> None:
-    """Judgements of a counter, kept until the next batch; a counter says again what was not taken.
-
-    >>> hear_minds.__name__
-    'hear_minds'
-    """
+    """Judgements of a counter, kept until the next batch; a counter says again what was not taken."""
     if len(office.minds) + len(minds) <= MOST_MINDS:
         office.minds.update(map(tuple, minds))
 
 
 def own_rows(office) -> list[dict]:
-    """The modes as this registrar holds them.
-
-    >>> own_rows.__name__
-    'own_rows'
-    """
-    return [{"database": row.database, "mode": row.mode, "judged": not row.pinned, "exceptions": ",".join(row.exceptions),
-             "strikes": row.strikes, "generation": row.since} for _name, row in sorted(office.board.pool_rows.items())]
+    """The modes as this registrar holds them."""
+    return [
+        {
+            "database": row.database,
+            "mode": row.mode,
+            "judged": not row.pinned,
+            "exceptions": ",".join(row.exceptions),
+            "strikes": row.strikes,
+            "generation": row.since,
+        }
+        for _name, row in sorted(office.board.pool_rows.items())
+    ]
 
 
 def node_rows(office, node: str, reports: list[dict]) -> list[dict]:
-    """Which judgement this registrar and its counters hold; who does not answer, or is lost without a word, holds none.
-
-    >>> node_rows.__name__
-    'node_rows'
-    """
+    """Which judgement this registrar and its counters hold; who does not answer, or is lost without a word, holds none."""
     told = [report["counter"] for report in reports]
-    silent = {*office.members.sessions, *office.members.lost(office.now)} - {row["node"] for row in told}
+    silent = {*office.members.sessions, *office.members.lost(office.now)} - {
+        row["node"] for row in told
+    }
     return [
-        {"node": node, "role": "registrar", "generation": office.board.pooling, "digest": pool_digest(office.board.pool_rows),
-         "why": ""},
-        *({"node": row["node"], "role": "counter", "generation": row["pooling"], "digest": row["pooling_digest"], "why": ""}
-          for row in told),
-        *({"node": name, "role": "counter", "generation": 0, "digest": "", "why": "does not answer"} for name in sorted(silent)),
+        {
+            "node": node,
+            "role": "registrar",
+            "generation": office.board.pooling,
+            "digest": pool_digest(office.board.pool_rows),
+            "why": "",
+        },
+        *(
+            {
+                "node": row["node"],
+                "role": "counter",
+                "generation": row["pooling"],
+                "digest": row["pooling_digest"],
+                "why": "",
+            }
+            for row in told
+        ),
+        *(
+            {
+                "node": name,
+                "role": "counter",
+                "generation": 0,
+                "digest": "",
+                "why": "does not answer",
+            }
+            for name in sorted(silent)
+        ),
     ]
 
 
 @serves("PUT", r"/api/admin/pooling")
 async def put_mode(shell, request: Request) -> Reply:
-    """Pins a database's mode, or has it judged again.
-
-    >>> put_mode.__name__
-    'put_mode'
-    """
+    """Pins a database's mode, or has it judged again."""
     try:
         body = json.loads(request.body)
         database, mode = body["database"], body["mode"]
     except (ValueError, KeyError, TypeError):
-        return mishap_reply(mishap("bad_request", "the body must be {\"database\": ..., \"mode\": ...}"))
+        return mishap_reply(
+            mishap("bad_request", 'the body must be {"database": ..., "mode": ...}')
+        )
     blueprint = shell.office.board.blueprint
     if database not in {route.host for route in blueprint.routes} if blueprint else True:
-        return mishap_reply(mishap("unknown_database", f"the blueprint has no database '{database}'"))
+        return mishap_reply(
+            mishap("unknown_database", f"the blueprint has no database '{database}'")
+        )
     if mode not in (*MODES, "auto"):
         return mishap_reply(mishap("unknown_mode", f"'{mode}' is none of {', '.join(MODES)}, auto"))
     base = read_base(request)
--- a/sumacloom/registrar/roster.py
+++ b/sumacloom/registrar/roster.py
@@ -1,4 +1,5 @@
 """Backends as one registrar knows them: beats, tombstones, sightings, suspicions."""
+
 from itertools import takewhile
 
 import msgspec
@@ -37,15 +38,15 @@
     def __init__(self, board: Board):
         self.board = board
         self.last_seq: dict[str, int] = {}
-        self.heard_at: dict[str, float] = {}       # by any registrar, on our clock
-        self.heard_told: dict[str, float] = {}     # when we learned so
+        self.heard_at: dict[str, float] = {}  # by any registrar, on our clock
+        self.heard_told: dict[str, float] = {}  # when we learned so
         self.gone_at: dict[str, float] = {}
         self.peer_heard: dict[str, float] = {}
-        self.suspected: dict[str, float] = {}      # backend: when a counter last told of a mishap
-        self.probed: dict[str, float] = {}         # backend: since when our probes fail
-        self.sighted: dict[str, tuple] = {}        # replica: (seen at, position, told here first)
-        self.peer_dark: dict[str, dict] = {}       # peer: {backend: since when, on our clock}
-        self.loaded: dict[str, float] = {}         # known only from our disk so far, since when
+        self.suspected: dict[str, float] = {}  # backend: when a counter last told of a mishap
+        self.probed: dict[str, float] = {}  # backend: since when our probes fail
+        self.sighted: dict[str, tuple] = {}  # replica: (seen at, position, told here first)
+        self.peer_dark: dict[str, dict] = {}  # peer: {backend: since when, on our clock}
+        self.loaded: dict[str, float] = {}  # known only from our disk so far, since when
 
     def record(self) -> tuple:
         """The backends that are there, as the ledger keeps them.
@@ -53,7 +54,10 @@
         >>> Roster(Board()).record()
         ('roster', [])
         """
-        return ("roster", [record for record in self.board.records.values() if record.phase != "gone"])
+        return (
+            "roster",
+            [record for record in self.board.records.values() if record.phase != "gone"],
+        )
 
     def load(self, others: list[tuple], now: float) -> None:
         """Takes the backends that the ledger knew last; each LOGIN names its id, so an old one does no harm.
@@ -92,12 +96,24 @@
             life += 1
         self.last_seq[name] = beat.seq
         self.hear_backend(name, now, now)
-        fresh = Record(name, beat.svc, beat.addr, beat.az, beat.slots, beat.phase,
-                       "primary" if beat.dbrole == "primary" else "replica", beat.cold_left_ms, life, beat.seq)
+        fresh = Record(
+            name,
+            beat.svc,
+            beat.addr,
+            beat.az,
+            beat.slots,
+            beat.phase,
+            "primary" if beat.dbrole == "primary" else "replica",
+            beat.cold_left_ms,
+            life,
+            beat.seq,
+        )
         if held and self.same(held, fresh):
             return Ok(None)
         if not held or held.role != fresh.role or held.phase != fresh.phase:
-            scribe.say("the backend %s of %s is %s, %s", name, fresh.service, fresh.phase, fresh.role)
+            scribe.say(
+                "the backend %s of %s is %s, %s", name, fresh.service, fresh.phase, fresh.role
+            )
         self.board.records[name] = fresh
         self.board.forget(())
         return Ok([fresh, *self.replaced_by(fresh, now)])
@@ -109,8 +125,11 @@
         []
         """
         others = [
-            record.name for record in self.board.records.values()
-            if record.address == fresh.address and record.name != fresh.name and record.phase != "gone"
+            record.name
+            for record in self.board.records.values()
+            if record.address == fresh.address
+            and record.name != fresh.name
+            and record.phase != "gone"
             and self.heard_at.get(record.name, -1e9) <= self.heard_at.get(fresh.name, now)
         ]
         return [record for record in (self.leave(name, now) for name in others) if record]
@@ -158,11 +177,7 @@
         return fresh
 
     def hear_peer(self, peer: str, beat, now: float) -> None:
-        """A peer's heartbeat: what it heard, what it finds dark.
-
-        >>> Roster.hear_peer.__name__
-        'hear_peer'
-        """
+        """A peer's heartbeat: what it heard, what it finds dark."""
         self.peer_heard[peer] = now
         self.peer_dark[peer] = {name: now - dark / 1000 for name, dark in beat.dark.items()}
         for name, age in beat.heard.items():
@@ -183,7 +198,7 @@
         for sighting in sightings:
             seen = now - sighting.age_ms / 1000
             if seen > self.sighted.get(sighting.backend, (-1e9,))[0]:
-                self.sighted.pop(sighting.backend, None)             # kept in the order in which they came
+                self.sighted.pop(sighting.backend, None)  # kept in the order in which they came
                 self.sighted[sighting.backend] = (seen, sighting, now, own)
 
     def sightings(self, since: float, now: float, own: bool = False) -> list[Sighting]:
@@ -194,7 +209,9 @@
         """
         return [
             structs.replace(sighting, age_ms=int((now - seen) * 1000))
-            for seen, sighting, _came, ours in takewhile(lambda sight: sight[2] > since, reversed(self.sighted.values()))
+            for seen, sighting, _came, ours in takewhile(
+                lambda sight: sight[2] > since, reversed(self.sighted.values())
+            )
             if now - seen < SIGHT_S and (ours or not own)
         ]
 
@@ -213,11 +230,15 @@
         []
         """
         return [
-            record.name for record in self.board.records.values()
-            if record.role == "primary" and record.phase != "gone" and (
+            record.name
+            for record in self.board.records.values()
+            if record.role == "primary"
+            and record.phase != "gone"
+            and (
                 now - self.suspected.get(record.name, -1e9) < SUSPECT_S
                 or now - self.heard_at.get(record.name, now) > 1.6 * beat_s
-                or record.name in self.probed)
+                or record.name in self.probed
+            )
         ]
 
     def hear_backend(self, name: str, heard: float, now: float) -> None:
@@ -236,7 +257,9 @@
         {}
         """
         return {
-            name: round((now - self.heard_at[name]) * 1000) for name, told in self.heard_told.items() if told > since
+            name: round((now - self.heard_at[name]) * 1000)
+            for name, told in self.heard_told.items()
+            if told > since
         }
 
     def dark_ages(self, now: float) -> dict[str, float]:
@@ -258,7 +281,8 @@
         """
         times = [self.probed[name]] if name in self.probed else []
         times += [
-            dark[name] for peer, dark in self.peer_dark.items()
+            dark[name]
+            for peer, dark in self.peer_dark.items()
             if name in dark and now - self.peer_heard[peer] < PEER_S
         ]
         majority = voters // 2 + 1
@@ -276,10 +300,17 @@
         old = [name for name, gone in self.gone_at.items() if now - gone > TOMBSTONE_S]
         for name in old:
             del self.gone_at[name]
-        self.board.forget([name for name in old if self.board.records.get(name, None)
-                           and self.board.records[name].phase == "gone"])
+        self.board.forget(
+            [
+                name
+                for name in old
+                if self.board.records.get(name, None) and self.board.records[name].phase == "gone"
+            ]
+        )
         silent = [
-            name for name, record in self.board.records.items()
-            if record.phase != "gone" and now - self.heard_at.get(name, self.loaded.get(name, now)) > SILENT_S
+            name
+            for name, record in self.board.records.items()
+            if record.phase != "gone"
+            and now - self.heard_at.get(name, self.loaded.get(name, now)) > SILENT_S
         ]
         return [record for record in (self.leave(name, now) for name in silent) if record]
--- a/sumacloom/registrar/shell.py
+++ b/sumacloom/registrar/shell.py
@@ -1,26 +1,27 @@
 """The registrar's shell: sockets, disk and clock around the office."""
+
 import random
 import time
 from collections import deque
 
 import curio
 
+from ..agreement import membership
 from ..common import http
 from ..common.logs import Scribe
-from ..common.signals import Signals
 from ..common.settings import FileWatch, Settings, read_settings, split_address
+from ..common.signals import Signals
 from ..courier.links import Link, accept_all, dial, kept, listen, tune
 from ..courier.messages import Follow, Hello, Intent, MemberBeat, Pending, RegistrarBeat, Verdict
 from ..ledger.log import Ledger
-from ..agreement import membership
 from . import access_calls, admin, ctl  # noqa: F401  (access_calls serves calls)
 from .access import Stamps
 from .caretaker import mind_backends
 from .errands import Doubted, note_tick, stood_still
+from .office import Office
 from .pooling import hear_minds
 from .spool import may_leave, take_intent, take_verdict, unhanded
 from .syncing import sync_disk
-from .office import Office
 
 scribe = Scribe("registrar")
 TICK_S = 0.05
@@ -28,35 +29,37 @@
 PEER_DIAL_S = 0.35
 FLIPPED_S = 0.4
 COUNT_S = 0.1
-LEAVE_SHARE = 2 / 3        # of graceS: how long a stopped registrar stays at most for what depends on it
-WAKING_S = 0.5               # within it, all that came while we stood still has been read
+LEAVE_SHARE = 2 / 3  # of graceS: how long a stopped registrar stays at most for what depends on it
+WAKING_S = 0.5  # within it, all that came while we stood still has been read
 
 
 class Shell:
     """One running registrar."""
 
-    counted, counted_at = 1, -1e9      # the members of the whole fleet, and when they were counted
+    counted, counted_at = 1, -1e9  # the members of the whole fleet, and when they were counted
 
     def __init__(self, settings: Settings):
         self.settings = settings
         self.most_blueprint = 4 << 20
         self.office = Office(settings, Ledger(settings.datadir), random.SystemRandom(), self.now())
-        self.office.storage.prompt = False            # from here on the disk is waited for in a thread of its own
+        self.office.storage.prompt = (
+            False  # from here on the disk is waited for in a thread of its own
+        )
         self.syncing = self.disk_ill = self.was_settled = False
         self.flipped_at, self.settled_at = None, self.now()
         self.dialled: set[str] = set()
         self.ticked_at, self.stood_still_at = self.now(), -1e9
-        self.out_links: dict[str, Link] = {}       # peer ip: link we dialled
-        self.in_links: dict[str, Link] = {}        # peer ip: link it dialled; used until ours stands
-        self.counters: dict[str, Link] = {}        # node: its link
-        self.waiting: list[tuple] = []             # (proposal, event)
+        self.out_links: dict[str, Link] = {}  # peer ip: link we dialled
+        self.in_links: dict[str, Link] = {}  # peer ip: link it dialled; used until ours stands
+        self.counters: dict[str, Link] = {}  # node: its link
+        self.waiting: list[tuple] = []  # (proposal, event)
         self.plans, self.probing, self.misses = {}, set(), {}
-        self.doubts: dict[str, Doubted] = {}       # services for which a promotion may yet land
-        self.platform_calls = deque()              # when the last calls to the platform left
-        self.duty_known = None                     # the holding of the duty that the doubts belong to
-        self.parts: dict[int, dict] = {}           # inquiry: peer ip: its tables
+        self.doubts: dict[str, Doubted] = {}  # services for which a promotion may yet land
+        self.platform_calls = deque()  # when the last calls to the platform left
+        self.duty_known = None  # the holding of the duty that the doubts belong to
+        self.parts: dict[int, dict] = {}  # inquiry: peer ip: its tables
         self.inquiries = 0
-        self.errands: list = []                    # coroutine functions to be run beside the links
+        self.errands: list = []  # coroutine functions to be run beside the links
         self.nobody_since: dict[str, float] = {}
         self.signals = Signals().listen()
         self.watch = FileWatch()
@@ -72,21 +75,15 @@
         return time.monotonic()
 
     def hello(self) -> Hello:
-        """How this registrar names itself.
-
-        >>> Shell.hello.__name__
-        'hello'
-        """
+        """How this registrar names itself."""
         settings = self.settings
-        return Hello(settings.node, "registrar", settings.zone, f"{settings.ip}:{self.port}", settings.ip)
+        return Hello(
+            settings.node, "registrar", settings.zone, f"{settings.ip}:{self.port}", settings.ip
+        )
 
     # ------------------------------------------------------------ acting
     async def act(self) -> None:
-        """Sends what the office put out, wakes who waits for an outcome, passes news on.
-
-        >>> Shell.act.__name__
-        'act'
-        """
+        """Sends what the office put out, wakes who waits for an outcome, passes news on."""
         office = self.office
         outbox, office.outbox = office.outbox, []
         for peer, message in outbox:
@@ -109,14 +106,15 @@
             await curio.spawn(sync_disk, self, daemon=True)
 
     def pass_news(self) -> None:
-        """Sends the counters that hang on us directly what they lack.
-
-        >>> Shell.pass_news.__name__
-        'pass_news'
-        """
+        """Sends the counters that hang on us directly what they lack."""
         board, digest = self.office.board, self.office.board.digest()
         for node, link in self.counters.items():
-            if link.digest is None or link.digest == digest or link.parent or not link.outlet.flush():
+            if (
+                link.digest is None
+                or link.digest == digest
+                or link.parent
+                or not link.outlet.flush()
+            ):
                 continue
             news = board.news_for(link.digest)
             if news:
@@ -124,11 +122,7 @@
             link.digest = digest
 
     async def decide(self, key: str, change, reading: bool = False):
-        """Proposes, and waits for the outcome.
-
-        >>> Shell.decide.__name__
-        'decide'
-        """
+        """Proposes, and waits for the outcome."""
         proposal = self.office.propose(key, change, self.now(), reading)
         if proposal.outcome is None:
             event = curio.Event()
@@ -151,11 +145,7 @@
 
     # ------------------------------------------------------------ links
     async def keep_link(self, peer: str) -> None:
-        """Keeps a link to another registrar, dialling anew when it ends.
-
-        >>> Shell.keep_link.__name__
-        'keep_link'
-        """
+        """Keeps a link to another registrar, dialling anew when it ends."""
         while peer in self.office.others():
             try:
                 sock = await dial(peer, self.port, PEER_DIAL_S)
@@ -174,11 +164,7 @@
         self.dialled.discard(peer)
 
     async def take_link(self, sock) -> None:
-        """A daemon dialled us: another registrar, or a counter.
-
-        >>> Shell.take_link.__name__
-        'take_link'
-        """
+        """A daemon dialled us: another registrar, or a counter."""
         tune(sock._socket)
         link = Link(sock)
         link.parent, link.shared_at, link.leaving, link.stamps = "", 0.0, False, Stamps()
@@ -208,11 +194,7 @@
             await link.close()
 
     def hear_counter(self, link: Link, message, now: float) -> None:
-        """A counter's heartbeat, or its call for news.
-
-        >>> Shell.hear_counter.__name__
-        'hear_counter'
-        """
+        """A counter's heartbeat, or its call for news."""
         office, node = self.office, link.peer.node
         if isinstance(message, Follow):
             link.digest = message.digest
@@ -229,8 +211,15 @@
         link.leaving, link.answers_ms = message.leaving, message.sent_ms
         link.stamps.hear(message.stamp, now)
         hear_minds(office, message.minds)
-        office.members.hear(node, link.peer.zone, link.peer.address, now, message.digest.lanes,
-                            message.digest.listeners, link.peer.life)
+        office.members.hear(
+            node,
+            link.peer.zone,
+            link.peer.address,
+            now,
+            message.digest.lanes,
+            message.digest.listeners,
+            link.peer.life,
+        )
         self.counters[node] = link
         link.digest = message.digest
         if message.report:
@@ -244,37 +233,40 @@
         link.parent = office.members.parent(node, self.settings.zone, FAN)
         self.beat_counter(link, now)
 
-    def beat_counter(self, link: Link, now: float, want_report: bool = False, level: str = "") -> None:
-        """Our heartbeat to a counter.
-
-        >>> Shell.beat_counter.__name__
-        'beat_counter'
-        """
+    def beat_counter(
+        self, link: Link, now: float, want_report: bool = False, level: str = ""
+    ) -> None:
+        """Our heartbeat to a counter."""
         office = self.office
         registrars = [f"{ip}:{self.port}" for ip in [self.settings.ip, *office.others()]]
-        if now - self.counted_at >= COUNT_S:         # all members are looked at: not for each counter's beat
+        if (
+            now - self.counted_at >= COUNT_S
+        ):  # all members are looked at: not for each counter's beat
             self.counted, self.counted_at = max(1, office.members.count(now)), now
         sightings = office.roster.sightings(link.shared_at, now)
         link.shared_at = now
-        link.send(RegistrarBeat(
-            office.board.digest(), self.counted, link.parent, registrars, sightings, want_report, level,
-            office.settled(now), link.stamps.confirmed(office.readings.read_at), link.answers_ms))
+        link.send(
+            RegistrarBeat(
+                office.board.digest(),
+                self.counted,
+                link.parent,
+                registrars,
+                sightings,
+                want_report,
+                level,
+                office.settled(now),
+                link.stamps.confirmed(office.readings.read_at),
+                link.answers_ms,
+            )
+        )
 
     def announce(self, message: Pending) -> None:
-        """Passes word of a coming lead to the counters in session here.
-
-        >>> Shell.announce.__name__
-        'announce'
-        """
+        """Passes word of a coming lead to the counters in session here."""
         for link in self.counters.values():
             link.send(message)
 
     def hear_peer(self, peer: str, message) -> None:
-        """A message of another registrar, on whichever link it came.
-
-        >>> Shell.hear_peer.__name__
-        'hear_peer'
-        """
+        """A message of another registrar, on whichever link it came."""
         if isinstance(message, Pending):
             self.announce(message)
         elif not admin.hear(self, peer, message):
@@ -282,11 +274,7 @@
 
     # ------------------------------------------------------------ running
     async def clock(self) -> None:
-        """Ticks until SIGTERM.
-
-        >>> Shell.clock.__name__
-        'clock'
-        """
+        """Ticks until SIGTERM."""
         while not self.signals.ending:
             await curio.sleep(TICK_S)
             if self.signals.take_hangup() or self.watch.changed(self.now()):
@@ -304,11 +292,7 @@
             await self.act()
 
     def note_settled(self, now: float) -> None:
-        """Logs when the majority is lost, and when it is heard again.
-
-        >>> Shell.note_settled.__name__
-        'note_settled'
-        """
+        """Logs when the majority is lost, and when it is heard again."""
         settled = self.office.settled(now)
         if settled:
             self.settled_at = now
@@ -318,64 +302,55 @@
         self.flipped_at = self.flipped_at or now
         if now - self.flipped_at >= FLIPPED_S:
             self.was_settled = settled
-            scribe.say("a majority is heard and nothing decided is lacking" if settled else
-                       "no majority is heard, or something decided is lacking")
+            scribe.say(
+                "a majority is heard and nothing decided is lacking"
+                if settled
+                else "no majority is heard, or something decided is lacking"
+            )
 
     def unsettled_s(self) -> float:
-        """For how long no majority has been heard, or something decided was lacking.
-
-        >>> Shell.unsettled_s.__name__
-        'unsettled_s'
-        """
+        """For how long no majority has been heard, or something decided was lacking."""
         return self.now() - self.settled_at
 
     async def serve_ctl(self, sock) -> None:
-        """Serves one HTTP connection.
+        """Serves one HTTP connection."""
 
-        >>> Shell.serve_ctl.__name__
-        'serve_ctl'
-        """
         async def handler(request):
             return await ctl.handle(self, request)
+
         await http.serve_wire(sock, handler)
 
     def reread(self) -> None:
-        """Takes what may change while running: seeds, bounds, log level; a bad file changes nothing.
-
-        >>> Shell.reread.__name__
-        'reread'
-        """
+        """Takes what may change while running: seeds, bounds, log level; a bad file changes nothing."""
         result = read_settings("registrar")
         if result.is_err():
             scribe.warn("the old settings stay: %s", result.err().sentence)
             return
         fresh = result.ok()
-        self.settings.seeds, self.settings.bounds, self.settings.zones = fresh.seeds, fresh.bounds, fresh.zones
+        self.settings.seeds, self.settings.bounds, self.settings.zones = (
+            fresh.seeds,
+            fresh.bounds,
+            fresh.zones,
+        )
         self.settings.voting, self.settings.tolerate = fresh.voting, fresh.tolerate
         self.office.seeds = list(dict.fromkeys(split_address(seed)[0] for seed in fresh.seeds))
         scribe.say("the settings were read again")
 
     async def main(self) -> int:
-        """Runs until SIGTERM.
-
-        >>> Shell.main.__name__
-        'main'
-        """
+        """Runs until SIGTERM."""
         settings = self.settings
         host, port = split_address(settings.listen.ctl)
         await curio.spawn(kept, scribe, accept_all, listen(host, port), self.serve_ctl, daemon=True)
-        await curio.spawn(kept, scribe, accept_all, listen(settings.ip, self.port), self.take_link, daemon=True)
+        await curio.spawn(
+            kept, scribe, accept_all, listen(settings.ip, self.port), self.take_link, daemon=True
+        )
         scribe.say("serving at %s", settings.listen.ctl)
         await kept(scribe, self.clock)
         await self.leave()
         return 0
 
     async def leave(self) -> None:
-        """Says that it leaves; waits to be taken out of the voters and until what it alone holds is handed over.
-
-        >>> Shell.leave.__name__
-        'leave'
-        """
+        """Says that it leaves; waits to be taken out of the voters and until what it alone holds is handed over."""
         scribe.say("leaving")
         office, cutoff = self.office, self.now() + self.settings.bounds.grace_s * LEAVE_SHARE
         self.settings.voting = False
@@ -386,7 +361,15 @@
             await self.act()
         left = unhanded(office)
         if left:
-            scribe.warn("left with %d entries of the spool that no other disk is known to hold, the first %s", len(left), left[0])
-        if office.me in office.acceptor.configuration.members and not membership.may_go(office, self.now()):
-            scribe.warn("left while still among the voters: the change took longer than %.1f s",
-                        self.settings.bounds.grace_s * LEAVE_SHARE)
+            scribe.warn(
+                "left with %d entries of the spool that no other disk is known to hold, the first %s",
+                len(left),
+                left[0],
+            )
+        if office.me in office.acceptor.configuration.members and not membership.may_go(
+            office, self.now()
+        ):
+            scribe.warn(
+                "left while still among the voters: the change took longer than %.1f s",
+                self.settings.bounds.grace_s * LEAVE_SHARE,
+            )
--- a/sumacloom/registrar/spool.py
+++ b/sumacloom/registrar/spool.py
@@ -4,6 +4,7 @@
 registrar, the `spare`, takes over if this one is lost. The feed makes a second append of one item a no-op,
 so whoever holds an entry may append it: spares later, and what has no verdict only when its counter is gone.
 """
+
 import zlib
 
 from ..agreement import membership
@@ -14,10 +15,10 @@
 from .feed import append
 
 scribe = Scribe("spool")
-SPARE_S = 0.2            # how long one spare is waited for while a counter waits, then the next is asked
-SPARE_AGAIN_S = 0.4      # and how long while none does
-SPARE_TURN_S = 2.0       # how much later a spare appends
-GONE_S = 5.0             # a counter unheard by everyone for so long sends no verdict any more
+SPARE_S = 0.2  # how long one spare is waited for while a counter waits, then the next is asked
+SPARE_AGAIN_S = 0.4  # and how long while none does
+SPARE_TURN_S = 2.0  # how much later a spare appends
+GONE_S = 5.0  # a counter unheard by everyone for so long sends no verdict any more
 APPEND_EVERY_S = 0.1
 MOST_BATCH = 200
 
@@ -25,13 +26,30 @@
 class Entry:
     """One intent: who has it, what became of it, and who waits for word."""
 
-    __slots__ = ("node", "text", "kind", "spare", "since", "unheard", "client", "lacks", "place", "copied", "asked", "sent_at")
+    __slots__ = (
+        "asked",
+        "client",
+        "copied",
+        "kind",
+        "lacks",
+        "node",
+        "place",
+        "sent_at",
+        "since",
+        "spare",
+        "text",
+        "unheard",
+    )
 
     def __init__(self, node: str, text: str, kind: str, spare: bool, now: float):
         self.node, self.text, self.kind, self.spare, self.since = node, text, kind, spare, now
-        self.unheard = None          # since when the counter is unheard by everyone
+        self.unheard = None  # since when the counter is unheard by everyone
         self.client, self.lacks, self.place = "", set(), ""
-        self.copied, self.asked, self.sent_at = False, False, now     # whether another disk holds it, was asked to, and when
+        self.copied, self.asked, self.sent_at = (
+            False,
+            False,
+            now,
+        )  # whether another disk holds it, was asked to, and when
 
 
 class Spool:
@@ -55,11 +73,7 @@
         return [record(key, entry) for key, entry in self.entries.items()]
 
     def write(self, key: tuple, entry: Entry) -> None:
-        """Puts an entry on its way to the disk.
-
-        >>> Spool.write.__name__
-        'write'
-        """
+        """Puts an entry on its way to the disk."""
         self.office.storage.write_records([record(key, entry)])
 
     def drop(self, keys: list[tuple]) -> None:
@@ -101,11 +115,7 @@
 
 
 def take_intent(office, client: str, message: Intent, now: float) -> None:
-    """A counter's intent: onto the disk here and at another registrar; then the counter hears of it.
-
-    >>> take_intent.__name__
-    'take_intent'
-    """
+    """A counter's intent: onto the disk here and at another registrar; then the counter hears of it."""
     spool, key = office.spool, place_of(message)
     entry = spool.entries.get(key)
     if entry is None:
@@ -118,11 +128,7 @@
 
 
 def send_spare(office, key: tuple, entry: Entry, now: float) -> bool:
-    """Asks another registrar to hold a copy, the next one if the last was silent; False if none is heard.
-
-    >>> send_spare.__name__
-    'send_spare'
-    """
+    """Asks another registrar to hold a copy, the next one if the last was silent; False if none is heard."""
     peers = spares(office, now)
     if not peers:
         return False
@@ -131,35 +137,29 @@
     elif entry.asked:
         entry.place = peers[(peers.index(entry.place) + 1) % len(peers)]
     entry.asked, entry.copied, entry.sent_at = True, False, now
-    office.outbox.append((entry.place, Spare(*key[::2], key[1], entry.text, entry.node, entry.kind)))
+    office.outbox.append(
+        (entry.place, Spare(*key[::2], key[1], entry.text, entry.node, entry.kind))
+    )
     return True
 
 
 def spares(office, now: float) -> list[str]:
-    """The registrars that may hold a copy: heard, hearing us, and not on their way out if others are there.
-
-    >>> spares.__name__
-    'spares'
-    """
-    peers = [peer for peer in office.others() if office.alive(peer, now) and office.me in office.peers[peer][1].hears]
+    """The registrars that may hold a copy: heard, hearing us, and not on their way out if others are there."""
+    peers = [
+        peer
+        for peer in office.others()
+        if office.alive(peer, now) and office.me in office.peers[peer][1].hears
+    ]
     return [peer for peer in peers if office.peers[peer][1].voting] or peers
 
 
 def unhanded(office) -> list[tuple]:
-    """The entries that no other disk is known to hold.
-
-    >>> unhanded.__name__
-    'unhanded'
-    """
+    """The entries that no other disk is known to hold."""
     return [key for key, entry in office.spool.entries.items() if not entry.copied]
 
 
 def may_leave(office, now: float) -> bool:
-    """Whether a registrar that is being stopped may end, as far as voters and spool go.
-
-    >>> may_leave.__name__
-    'may_leave'
-    """
+    """Whether a registrar that is being stopped may end, as far as voters and spool go."""
     return membership.may_go(office, now) and (not spares(office, now) or not unhanded(office))
 
 
@@ -168,9 +168,6 @@
 
     It is noted only once the feed has it: a verdict on one disk could be lost with that disk while its
     counter, which lives on, had already forgotten it.
-
-    >>> take_verdict.__name__
-    'take_verdict'
     """
     spool, key = office.spool, place_of(message)
     seen = listeners.feed_of(office, message.database).has(message.life, message.number)
@@ -189,21 +186,13 @@
 
 @hears(Held)
 def disk_holds(office, _peer: str, message, now: float) -> None:
-    """Our own disk holds an intent.
-
-    >>> disk_holds.__name__
-    'disk_holds'
-    """
+    """Our own disk holds an intent."""
     step_on(office, place_of(message), "disk")
 
 
 @hears(SpareHeld)
 def spare_holds(office, peer: str, message, now: float) -> None:
-    """The other registrar's disk holds an intent.
-
-    >>> spare_holds.__name__
-    'spare_holds'
-    """
+    """The other registrar's disk holds an intent."""
     key = place_of(message)
     entry = office.spool.entries.get(key)
     if entry:
@@ -212,11 +201,7 @@
 
 
 def step_on(office, key: tuple, what: str) -> None:
-    """One thing less that the counter waits for.
-
-    >>> step_on.__name__
-    'step_on'
-    """
+    """One thing less that the counter waits for."""
     entry = office.spool.entries.get(key)
     if entry and what in entry.lacks:
         entry.lacks.discard(what)
@@ -226,11 +211,7 @@
 
 @hears(Spare)
 def take_spare(office, peer: str, message, now: float) -> None:
-    """Another registrar's copy.
-
-    >>> take_spare.__name__
-    'take_spare'
-    """
+    """Another registrar's copy."""
     spool, key = office.spool, place_of(message)
     if not listeners.feed_of(office, message.database).has(message.life, message.number):
         held = spool.entries.get(key)
@@ -239,17 +220,13 @@
         entry.kind, entry.since = message.kind or entry.kind, now
         if held is None:
             entry.place, entry.copied = peer, True
-        if fresh:                            # asked again, it is on its way to the disk already
+        if fresh:  # asked again, it is on its way to the disk already
             spool.write(key, entry)
     office.release(peer, SpareHeld(message.life, message.number, message.database))
 
 
 def ripe(office, key: tuple, entry: Entry, lives: dict, now: float) -> str:
-    """What an entry may be appended as now; nothing while it must wait.
-
-    >>> ripe.__name__
-    'ripe'
-    """
+    """What an entry may be appended as now; nothing while it must wait."""
     if entry.kind:
         return entry.kind if not entry.spare or now - entry.since >= SPARE_TURN_S else ""
     if lives.get(entry.node) == key[0]:
@@ -264,9 +241,6 @@
 
     A counter waits for the second disk wherever another registrar is heard. Where none is, one must do: a side
     that is cut off goes on committing.
-
-    >>> mind_spool.__name__
-    'mind_spool'
     """
     spool = office.spool
     if not spool.entries:
@@ -274,7 +248,7 @@
     peers = spares(office, now)
     for key, entry in spool.entries.items():
         if entry.copied and peers and entry.place not in peers:
-            entry.copied = False                        # who held the other copy is gone
+            entry.copied = False  # who held the other copy is gone
         if not entry.copied and now - entry.sent_at >= (SPARE_S if entry.lacks else SPARE_AGAIN_S):
             send_spare(office, key, entry, now)
         if not peers:
@@ -292,6 +266,7 @@
         if database not in listened:
             spool.drop([(life, database, number) for life, number, *_rest in entries])
         elif now - spool.appended_at.get(database, -1e9) >= APPEND_EVERY_S and not any(
-                proposal.key == feed_key for proposal in office.proposals):
+            proposal.key == feed_key for proposal in office.proposals
+        ):
             spool.appended_at[database] = now
             office.propose(feed_key, append(sorted(entries)[:MOST_BATCH]), now)
--- a/sumacloom/registrar/syncing.py
+++ b/sumacloom/registrar/syncing.py
@@ -1,4 +1,5 @@
 """The task that waits for a registrar's disk; one at a time."""
+
 import curio
 
 from ..agreement.storage import FIRST_PAUSE_S
@@ -13,16 +14,15 @@
 
     A snapshot that is refused holds nothing up until the log is crowded: then no more is written before there is
     one, so that the log can't fill the disk.
-
-    >>> sync_disk.__name__
-    'sync_disk'
     """
     storage = shell.office.storage
     while storage.batches:
         await snapshot_if_due(shell)
         if storage.ledger.crowded:
             if not shell.disk_ill:
-                scribe.warn("the log is as long as it may be, no votes until the disk takes a snapshot")
+                scribe.warn(
+                    "the log is as long as it may be, no votes until the disk takes a snapshot"
+                )
             shell.disk_ill = True
             await curio.sleep(DISK_PAUSE_S)
             continue
@@ -39,7 +39,7 @@
             scribe.say("the disk takes writes again")
         shell.disk_ill = False
         shell.office.written(batches, shell.now())
-        shell.syncing = False                  # what follows may be written by a task of its own
+        shell.syncing = False  # what follows may be written by a task of its own
         await shell.act()
         if shell.syncing:
             return
@@ -51,9 +51,6 @@
     """Replaces a full log by a snapshot; a disk that refuses is asked again after a growing pause.
 
     What is in memory and not yet synced is in the snapshot too, and appended after it: no reply to it has left.
-
-    >>> snapshot_if_due.__name__
-    'snapshot_if_due'
     """
     storage = shell.office.storage
     if not storage.snapshot_due(shell.now()):
--- a/sumacloom/registrar/taking.py
+++ b/sumacloom/registrar/taking.py
@@ -1,8 +1,9 @@
 """What a registrar does with a decided value, key by key."""
+
 from ..agreement import membership
 from ..agreement.values import BlueprintValue, DutyValue, EvacuationsValue, decode
 from ..common.logs import Scribe
-from ..courier.messages import News, Configuration
+from ..courier.messages import Configuration, News
 from . import access, duties, lanes, listeners, pooling
 from .feed import Feed
 
@@ -16,18 +17,16 @@
     >>> "blueprint" in TAKERS
     True
     """
+
     def register(function):
         TAKERS[key] = function
         return function
+
     return register
 
 
 def take(office, key: str, value: bytes, now: float) -> None:
-    """Puts a decided value to use here.
-
-    >>> take.__name__
-    'take'
-    """
+    """Puts a decided value to use here."""
     if key in TAKERS:
         TAKERS[key](office, value, now)
     elif key.startswith(listeners.FEEDS):
@@ -69,8 +68,13 @@
     found = decode(DutyValue, value)
     if office.duty is None or found.fence >= office.duty.fence:
         if found != office.duty:
-            scribe.say("the failover duty is with %s, fence %d", found.holder or "nobody", found.fence)
-        if office.duty is None or (found.holder, found.nonce) != (office.duty.holder, office.duty.nonce):
+            scribe.say(
+                "the failover duty is with %s, fence %d", found.holder or "nobody", found.fence
+            )
+        if office.duty is None or (found.holder, found.nonce) != (
+            office.duty.holder,
+            office.duty.nonce,
+        ):
             office.duty_since = now
             office.duty_before = office.duty.holder if office.duty else ""
         office.duty = found
@@ -97,7 +101,9 @@
     office.lanes_at = now
     if office.board.take(News(None, 0, None, None, found.news())):
         stage = "in force" if found.in_force else "offered"
-        scribe.say("the lanes %d are %s: %s", found.generation, stage, ", ".join(found.wanted) or "none")
+        scribe.say(
+            "the lanes %d are %s: %s", found.generation, stage, ", ".join(found.wanted) or "none"
+        )
 
 
 @takes(access.KEY)
@@ -110,7 +116,11 @@
     found = decode(access.AccessValue, value)
     if office.board.take(News(None, 0, None, None, access=found.news())):
         office.readings.offered_at = now
-        scribe.say("the access list %d is %s", found.generation, "in force" if found.in_force else "offered")
+        scribe.say(
+            "the access list %d is %s",
+            found.generation,
+            "in force" if found.in_force else "offered",
+        )
 
 
 @takes(pooling.KEY)
@@ -123,8 +133,11 @@
     found = decode(pooling.PoolValue, value)
     before = office.board.pooling
     if office.board.take(News(None, 0, None, None, pooling=found.news())):
-        scribe.say("the pool modes %d: %s", found.generation, ", ".join(
-            f"{row.database} {row.mode}" for row in found.rows if row.since > before))
+        scribe.say(
+            "the pool modes %d: %s",
+            found.generation,
+            ", ".join(f"{row.database} {row.mode}" for row in found.rows if row.since > before),
+        )
 
 
 @takes(listeners.KEY)
@@ -136,5 +149,9 @@
     """
     found = decode(listeners.Listeners, value)
     if office.board.take(News(None, 0, None, None, None, found.news())):
-        scribe.say("the listeners %d: %s", found.generation, ", ".join(
-            f"{row.name} to {row.database} ({row.state})" for row in found.rows) or "none")
+        scribe.say(
+            "the listeners %d: %s",
+            found.generation,
+            ", ".join(f"{row.name} to {row.database} ({row.state})" for row in found.rows)
+            or "none",
+        )
--- a/sumacloom/registrar/tenure.py
+++ b/sumacloom/registrar/tenure.py
@@ -5,14 +5,15 @@
 is given up FLIGHT_S after it left. So a holder that waits LEASE_S from its own taking of the duty never meets a call
 of the one before it; that wait is needed only where the platform checks no fences.
 """
+
 from collections import deque
 
 from ..agreement.values import DutyValue, decode, keep
 from . import duties
 
 CONFIRMED_S = 0.5
-REUSED_S = 0.25                # a plan's first reading serves its call too while it is younger than this
-FLIGHT_S = 1.5                 # the cutoff of a call, and of the kernel that still tries to deliver it
+REUSED_S = 0.25  # a plan's first reading serves its call too while it is younger than this
+FLIGHT_S = 1.5  # the cutoff of a call, and of the kernel that still tries to deliver it
 LEASE_S = CONFIRMED_S + FLIGHT_S
 TRIES = 2
 CALLS_S, SHARE_OF_CALLS = 1.0, 0.8
@@ -26,7 +27,7 @@
     """
 
     def __init__(self, duty: DutyValue, asked: tuple | None = None):
-        self.duty, self.asked = duty, asked          # asked: the reading by which the plan began
+        self.duty, self.asked = duty, asked  # asked: the reading by which the plan began
 
     def move_on(self, duty: DutyValue) -> None:
         """The plan's own fence has risen; what was read before no longer confirms it.
@@ -38,14 +39,10 @@
 
 
 def first_call_at(office) -> float:
-    """The moment from which this holder may call the platform; long past where it need not wait.
-
-    >>> first_call_at.__name__
-    'first_call_at'
-    """
+    """The moment from which this holder may call the platform; long past where it need not wait."""
     bounds, duty, before = office.settings.bounds, office.duty, office.duty_before
     if duty is None or duty.fence <= 1:
-        return -1e9                                  # nobody held it before
+        return -1e9  # nobody held it before
     waits = [] if bounds.fencing else [LEASE_S]
     if bounds.lease_ms and before != office.me and (not before or office.alive(before, office.now)):
         waits.append(bounds.lease_ms / 1000 + CONFIRMED_S)
@@ -53,21 +50,17 @@
 
 
 def may_send(office, holding: Holding, read: bytes | None, asked_at: float, now: float) -> bool:
-    """Whether a call of this plan may leave now, the duty having been read at a majority that was asked at `asked_at`.
-
-    >>> may_send.__name__
-    'may_send'
-    """
-    return (decode(DutyValue, read) == holding.duty == office.duty and duties.holds_duty(office, now)
-            and now - asked_at <= CONFIRMED_S and now >= first_call_at(office))
+    """Whether a call of this plan may leave now, the duty having been read at a majority that was asked at `asked_at`."""
+    return (
+        decode(DutyValue, read) == holding.duty == office.duty
+        and duties.holds_duty(office, now)
+        and now - asked_at <= CONFIRMED_S
+        and now >= first_call_at(office)
+    )
 
 
 async def ask(shell, holding: Holding | None = None) -> tuple:
-    """The duty read at a majority: (when that was asked for, the result). The plan's own reading, if it is young.
-
-    >>> ask.__name__
-    'ask'
-    """
+    """The duty read at a majority: (when that was asked for, the result). The plan's own reading, if it is young."""
     asked_at = shell.now()
     if holding and holding.asked and asked_at - holding.asked[0] <= REUSED_S:
         return holding.asked
@@ -75,15 +68,13 @@
 
 
 async def confirm(shell, holding: Holding, asked: tuple | None = None) -> bool:
-    """Whether a call of this plan may leave at once, by the reading `asked` or a new one; one too old is asked anew.
-
-    >>> confirm.__name__
-    'confirm'
-    """
+    """Whether a call of this plan may leave at once, by the reading `asked` or a new one; one too old is asked anew."""
     for _try in range(TRIES):
         asked_at, result = asked or await ask(shell, holding)
         asked = None
-        if result.is_ok() and may_send(shell.office, holding, result.ok()[1], asked_at, shell.now()):
+        if result.is_ok() and may_send(
+            shell.office, holding, result.ok()[1], asked_at, shell.now()
+        ):
             return True
         if result.is_err() or shell.now() - asked_at <= CONFIRMED_S:
             return False
--- a/tests/calls_world.py
+++ b/tests/calls_world.py
@@ -1,4 +1,5 @@
 """Backends that really run statements, and clients that check what they hear, around the real counter core."""
+
 from collections import Counter, deque
 
 from sumacloom.counter import losses, outcomes
@@ -13,9 +14,9 @@
 
     def __init__(self, key, name):
         self.key, self.name, self.inbox, self.buffer = key, name, deque(), b""
-        self.mode, self.failed, self.writes = None, False, []       # mode: of the open transaction
+        self.mode, self.failed, self.writes = None, False, []  # mode: of the open transaction
         self.values, self.kept_values, self.names = {}, {}, {}
-        self.closed = False                                         # by the counter; what was sent may yet run
+        self.closed = False  # by the counter; what was sent may yet run
 
     def begin(self, mode):
         self.mode, self.failed, self.writes, self.kept_values = mode, False, [], dict(self.values)
@@ -30,14 +31,26 @@
     """One try of a client's operation."""
 
     def __init__(self, single):
-        self.single, self.writes, self.promised, self.acked, self.conns = single, [], "", False, set()
+        self.single, self.writes, self.promised, self.acked, self.conns = (
+            single,
+            [],
+            "",
+            False,
+            set(),
+        )
 
 
 class World(Stage):
     """The stage with backends that run what they are sent, and clients that check what they hear."""
 
     def __init__(self):
-        self.conns, self.hosts, self.lead, self.term, self.commits = {}, {name: name for name in "pqr"}, "p", 1, 0
+        self.conns, self.hosts, self.lead, self.term, self.commits = (
+            {},
+            {name: name for name in "pqr"},
+            "p",
+            1,
+            0,
+        )
         self.stamps, self.kept, self.tries, self.clients = {}, Counter(), {}, {}
         self.ids = self.stamped = 0
         super().__init__()
@@ -95,8 +108,12 @@
         """What must hold wherever a client's statement runs."""
         client, one = self.tries[ident]
         if verb == "EXEC":
-            assert conn.names[rest.split(" ")[0]] == client.names["mine"], "another shape is prepared here"
-        assert conn.closed or client.key not in self.clients or conn.values == client.values, "values of another session"
+            assert conn.names[rest.split(" ")[0]] == client.names["mine"], (
+                "another shape is prepared here"
+            )
+        assert conn.closed or client.key not in self.clients or conn.values == client.values, (
+            "values of another session"
+        )
         if not one.single:
             assert conn.mode, "a statement of a transaction runs outside of it"
             assert set(conn.writes) <= set(one.writes), "inside another transaction"
@@ -119,8 +136,11 @@
 
     def asked(self, conn, ident, verb, rest, how):
         writes = verb == "PUT" or (verb == "EXEC" and conn.names[rest.split(" ")[0]][0] == "PUT")
-        lost = conn.name != self.lead and (writes if conn.mode is None else conn.mode == "plain" and
-                                           (verb != "COMMIT" or conn.writes))
+        lost = conn.name != self.lead and (
+            writes
+            if conn.mode is None
+            else conn.mode == "plain" and (verb != "COMMIT" or conn.writes)
+        )
         if lost:
             conn.failed = conn.mode is not None
             return [f"ERR RO {conn.name}"]
@@ -135,7 +155,7 @@
             conn.writes.append(ident)
         elif writes:
             self.keep([ident])
-        if how == "FAIL":                                          # it ran, and says that it failed
+        if how == "FAIL":  # it ran, and says that it failed
             conn.failed = conn.mode is not None
             return ["ERR FAIL x"]
         return [*([] if verb != "FETCH" else [f"ROW row s{self.stamped}"]), f"DONE s{self.stamped}"]
@@ -151,7 +171,9 @@
 
     # -------------------------------------------------------- the counter's reading
     def deliver(self, conn, most=None):
-        data, conn.buffer = (conn.buffer, b"") if most is None else (conn.buffer[:most], conn.buffer[most:])
+        data, conn.buffer = (
+            (conn.buffer, b"") if most is None else (conn.buffer[:most], conn.buffer[most:])
+        )
         if data and not conn.closed:
             outcomes.wire_data(self.floor, conn.key, data, self.now)
             self.act()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,4 +9,5 @@
 
 def pytest_configure(config):
     from tests.known_red import KnownRed
+
     config.pluginmanager.register(KnownRed(ROOT))
--- a/tests/crashes.py
+++ b/tests/crashes.py
@@ -1,4 +1,5 @@
 """A disk in memory, for the ledger: what a loss of power may leave of it, in every mix."""
+
 import errno
 import itertools
 import os
@@ -16,19 +17,29 @@
 
 
 def write_at(offset, data):
-    return lambda old: old[:offset].ljust(offset, b"\0") + data + old[offset + len(data):]
+    return lambda old: old[:offset].ljust(offset, b"\0") + data + old[offset + len(data) :]
 
 
 def torn(offset, data):
     half = len(data) // 2
-    return lambda old: (old[:offset].ljust(offset, b"\0") + data[:half]
-                        + (old[offset + half:offset + len(data)]).ljust(len(data) - half, b"\0") + old[offset + len(data):])
+    return lambda old: (
+        old[:offset].ljust(offset, b"\0")
+        + data[:half]
+        + (old[offset + half : offset + len(data)]).ljust(len(data) - half, b"\0")
+        + old[offset + len(data) :]
+    )
 
 
 class MemoryDisk:
     """Stands for `os` and `open` in the ledger; one flat folder. `fail_at` is the step that is refused."""
 
-    O_RDONLY, O_RDWR, O_CREAT, O_TRUNC, O_APPEND = os.O_RDONLY, os.O_RDWR, os.O_CREAT, os.O_TRUNC, os.O_APPEND
+    O_RDONLY, O_RDWR, O_CREAT, O_TRUNC, O_APPEND = (
+        os.O_RDONLY,
+        os.O_RDWR,
+        os.O_CREAT,
+        os.O_TRUNC,
+        os.O_APPEND,
+    )
     path, fspath = os.path, staticmethod(os.fspath)
 
     def __init__(self, files=None, watch=None, fail_at=None):
@@ -71,6 +82,7 @@
 
     def read_file(self, path, mode):
         import io
+
         return io.BytesIO(self.names[os.path.basename(path)].data)
 
     def write(self, handle, data):
@@ -79,10 +91,10 @@
         try:
             self.step()
         except OSError:
-            node.change(write_at(offset, data[:len(data) // 3]))      # part of it had gone out
+            node.change(write_at(offset, data[: len(data) // 3]))  # part of it had gone out
             raise
         node.change(write_at(offset, data))
-        node.changes[-1].torn = torn(offset, data)           # a write may also stay in part
+        node.changes[-1].torn = torn(offset, data)  # a write may also stay in part
         return len(data)
 
     def ftruncate(self, handle, size):
@@ -96,7 +108,9 @@
             self.lasting, self.name_changes = dict(self.names), []
             return
         node.synced, node.changes = node.data, []
-        for change in [change for change in self.name_changes if change[0] == "create" and change[2] is node]:
+        for change in [
+            change for change in self.name_changes if change[0] == "create" and change[2] is node
+        ]:
             self.name_changes.remove(change)
             self.lasting[change[1]] = node
 
@@ -105,6 +119,7 @@
     def fstat(self, handle):
         class Stat:
             st_size = len(self.handles[handle].data)
+
         return Stat
 
     def close(self, handle):
@@ -145,7 +160,10 @@
     def contents(node):
         """Each unsynced change present, missing or torn."""
         seen = set()
-        kinds = [(change, None, *([change.torn] if hasattr(change, "torn") else [])) for change in node.changes]
+        kinds = [
+            (change, None, *([change.torn] if hasattr(change, "torn") else []))
+            for change in node.changes
+        ]
         for chosen in itertools.product(*kinds):
             data = node.synced
             for change in chosen:
--- a/tests/dutyland.py
+++ b/tests/dutyland.py
@@ -3,6 +3,7 @@
 Tasks are the real coroutines, run by a small scheduler in place of curio. A process may be frozen, and thawed with
 all that it was sent meanwhile; what runs first after that, its clock, its tasks or its post, is drawn by the seed.
 """
+
 from collections import deque
 from types import SimpleNamespace
 from typing import NamedTuple
@@ -19,7 +20,7 @@
 from .test_voters import Land
 
 STEP_S = 0.02
-SERVICES = {"s": 0, "t": 1}                    # service: syncAcks
+SERVICES = {"s": 0, "t": 1}  # service: syncAcks
 
 
 class Trap:
@@ -111,12 +112,20 @@
     def __init__(self, seed, fencing, lease_ms=0):
         self.fencing, self.lease_ms = fencing, lease_ms
         self.processes, self.frozen, self.backlog = {}, set(), {}
-        self.fences, self.newest_duty = {}, (0, None, -1e9)        # fence: (holder, nonce); (fence, holder, since)
+        self.fences, self.newest_duty = (
+            {},
+            (0, None, -1e9),
+        )  # fence: (holder, nonce); (fence, holder, since)
         self.calls, self.underway, self.seen, self.asked = [], [], {}, {}
         self.unclear, self.arrived = {}, []
         self.dark = {}
-        self.rows = {service: {f"{service}{number}": ["primary" if number == 0 else "replica", 3, 0]
-                               for number in range(3)} for service in SERVICES}
+        self.rows = {
+            service: {
+                f"{service}{number}": ["primary" if number == 0 else "replica", 3, 0]
+                for number in range(3)
+            }
+            for service in SERVICES
+        }
         super().__init__(seed, loss=0.01)
         self.run(2.6)
 
@@ -128,26 +137,39 @@
         one.settings.cloud.addr = "10.9.9.9:80"
         one.roster.sweep, one.roster.suspects = lambda now: [], lambda beat_s, now: []
         one.roster.dark_since = lambda name, voters, now: self.dark.get(name)
-        one.board.blueprint = Blueprint(1, svcs=[Service(name, sync_acks=acks) for name, acks in SERVICES.items()])
+        one.board.blueprint = Blueprint(
+            1, svcs=[Service(name, sync_acks=acks) for name, acks in SERVICES.items()]
+        )
         original = one.settle
 
         def settle(key, ballot, value, now):
             if key == duties.DUTY:
                 found = decode(DutyValue, value)
                 if found.holder:
-                    assert self.fences.setdefault(found.fence, (found.holder, found.nonce)) == (found.holder, found.nonce)
+                    assert self.fences.setdefault(found.fence, (found.holder, found.nonce)) == (
+                        found.holder,
+                        found.nonce,
+                    )
                 if found.fence > self.newest_duty[0]:
                     changed = found.holder != self.newest_duty[1]
-                    self.newest_duty = (found.fence, found.holder, self.now if changed else self.newest_duty[2])
+                    self.newest_duty = (
+                        found.fence,
+                        found.holder,
+                        self.now if changed else self.newest_duty[2],
+                    )
             return original(key, ballot, value, now)
+
         one.settle = settle
         self.processes[ip] = Process(self, ip, one)
         self.show()
 
     def show(self):
         """Every registrar sees the backends as they are."""
-        records = {name: Record(name, service, "10.0.1.1:80", "a", role=row[0])
-                   for service, rows in self.rows.items() for name, row in rows.items()}
+        records = {
+            name: Record(name, service, "10.0.1.1:80", "a", role=row[0])
+            for service, rows in self.rows.items()
+            for name, row in rows.items()
+        }
         for one in self.offices.values():
             one.board.records = dict(records)
 
@@ -168,6 +190,7 @@
         def read():
             for peer, message in post:
                 process.office.hear(peer, Unframer().feed(frame(message))[0], self.now)
+
         steps = [read, process.clock, process.work]
         self.random.shuffle(steps)
         for step in steps:
@@ -188,8 +211,11 @@
                 one.storage.sync(batches)
                 one.written(batches, self.now)
             post, one.outbox = one.outbox, []
-            self.post += [(self.now + self.random.expovariate(50), ip, peer, message)
-                          for peer, message in post if self.random.random() >= self.loss]
+            self.post += [
+                (self.now + self.random.expovariate(50), ip, peer, message)
+                for peer, message in post
+                if self.random.random() >= self.loss
+            ]
         due = [entry for entry in self.post if entry[0] <= self.now]
         self.post = [entry for entry in self.post if entry[0] > self.now]
         for _at, ip, peer, message in sorted(due, key=lambda entry: entry[0]):
@@ -249,11 +275,15 @@
             return 0, {}, b""
         service, backend = body.decode().split('"')[3::4]
         fields = dict(headers)
-        holder = next(ip for ip, one in self.offices.items() if one.settings.node == fields["X-Holder"])
-        call = Call(holder, fields["X-Holder"], int(fields["X-Fence"]), service, backend, self.now, [])
+        holder = next(
+            ip for ip, one in self.offices.items() if one.settings.node == fields["X-Holder"]
+        )
+        call = Call(
+            holder, fields["X-Holder"], int(fields["X-Fence"]), service, backend, self.now, []
+        )
         self.check_sent(call)
         self.calls.append(call)
-        self.unclear[service] = call                    # until a clear answer is read
+        self.unclear[service] = call  # until a clear answer is read
         self.underway.append(call)
         await Trap(lambda: call.answer or self.now - began_at > cutoff_s)
         status = call.answer[0] if call.answer else 0
@@ -264,23 +294,39 @@
     def check_sent(self, call):
         """What must hold as a call leaves."""
         process = self.processes[call.ip]
-        assert self.fences.get(call.fence) == (call.ip, process.office.nonce), "another's fence, or none that was decided"
+        assert self.fences.get(call.fence) == (call.ip, process.office.nonce), (
+            "another's fence, or none that was decided"
+        )
         _fence, holder, since = self.newest_duty
-        assert holder == call.ip or self.now - since <= tenure.CONFIRMED_S + STEP_S, "the duty had long moved on"
+        assert holder == call.ip or self.now - since <= tenure.CONFIRMED_S + STEP_S, (
+            "the duty had long moved on"
+        )
         doubted = self.unclear.get(call.service)
         if doubted:
             assert call.fence > doubted.fence, "repeated with the fence of the unclear call"
-            assert self.asked.get((call.service, call.ip), -1e9) > doubted.sent_at, "repeated blindly"
+            assert self.asked.get((call.service, call.ip), -1e9) > doubted.sent_at, (
+                "repeated blindly"
+            )
         if not self.fencing:
             others = [old for old in self.calls if old.fence < call.fence and old.ip != call.ip]
-            assert all(self.now - old.sent_at >= tenure.FLIGHT_S for old in others), "two holders inside the bound"
+            assert all(self.now - old.sent_at >= tenure.FLIGHT_S for old in others), (
+                "two holders inside the bound"
+            )
         if self.lease_ms:
-            others = [old for old in self.calls if old.ip != call.ip and self.in_touch(old.ip, call.ip)]
-            assert all(self.now - old.sent_at >= self.lease_ms / 1000 for old in others), "took turns inside the lease"
+            others = [
+                old for old in self.calls if old.ip != call.ip and self.in_touch(old.ip, call.ip)
+            ]
+            assert all(self.now - old.sent_at >= self.lease_ms / 1000 for old in others), (
+                "took turns inside the lease"
+            )
 
     def in_touch(self, old, new):
         """Whether the new holder hears the old one."""
-        return old in self.offices and old not in self.frozen and self.offices[new].alive(old, self.now)
+        return (
+            old in self.offices
+            and old not in self.frozen
+            and self.offices[new].alive(old, self.now)
+        )
 
     def arrive(self, call, answer):
         """The platform reads a call; where it checks no fences, it is gone FLIGHT_S after it left."""
@@ -297,8 +343,14 @@
             rows = self.rows[call.service]
             if status == 200 and rows[call.backend][0] != "primary":
                 term = max(row[1] for row in rows.values()) + 1
-                self.rows[call.service] = {name: ["primary" if name == call.backend else "replica", term, 0 if name == call.backend else row[2]]
-                                           for name, row in rows.items()}
+                self.rows[call.service] = {
+                    name: [
+                        "primary" if name == call.backend else "replica",
+                        term,
+                        0 if name == call.backend else row[2],
+                    ]
+                    for name, row in rows.items()
+                }
                 self.show()
         if answer:
             call.answer.append(status)
@@ -321,5 +373,3 @@
     patch.setattr(errands, "dial", world.dial)
     patch.setitem(errands.RUNNERS, Ask, world.ask)
     return world
-
-
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -2,6 +2,7 @@
 
 They are printed at the end of the run. A fourth line, a test that isn't there, or one that passes fails the run.
 """
+
 import os
 
 import pytest
@@ -15,7 +16,11 @@
     >>> read("tests/test_a.py::test_b | it hangs | 12")
     [('tests/test_a.py::test_b', 'it hangs', '12')]
     """
-    lines = [tuple(part.strip() for part in line.split("|")) for line in text.splitlines() if line.strip()]
+    lines = [
+        tuple(part.strip() for part in line.split("|"))
+        for line in text.splitlines()
+        if line.strip()
+    ]
     if len(lines) > MOST:
         raise ValueError(f"{FILE} has {len(lines)} lines, {MOST} are allowed")
     wrong = [line for line in lines if len(line) != 3 or not all(line)]
--- a/tests/libraries.py
+++ b/tests/libraries.py
@@ -1,4 +1,5 @@
 """The pinned libraries: installed into target/deps if they aren't there, and found there."""
+
 import importlib.metadata
 import os
 import re
@@ -35,7 +36,21 @@
     with open(REQUIREMENTS, encoding="utf-8") as file:
         wanted = pinned(file.read())
     if not wanted.items() <= installed(FOLDER).items():
-        subprocess.run([sys.executable, "-m", "pip", "install", "-q", "-U", "--target", FOLDER, "-r", REQUIREMENTS], check=True)
+        subprocess.run(
+            [
+                sys.executable,
+                "-m",
+                "pip",
+                "install",
+                "-q",
+                "-U",
+                "--target",
+                FOLDER,
+                "-r",
+                REQUIREMENTS,
+            ],
+            check=True,
+        )
     if FOLDER not in sys.path:
         sys.path.insert(0, FOLDER)
     os.environ["PYTHONPATH"] = os.pathsep.join(filter(None, [FOLDER, os.environ.get("PYTHONPATH")]))
--- a/tests/linear.py
+++ b/tests/linear.py
@@ -2,19 +2,20 @@
 
 An operation that got no clear answer may have taken effect at any time since it was asked, once, or never.
 """
+
 import math
 from typing import NamedTuple
 
-MOST_STEPS = 60_000                 # a history that doesn't fit may take the search very long: then it is an error
+MOST_STEPS = 60_000  # a history that doesn't fit may take the search very long: then it is an error
 
 
 class Operation(NamedTuple):
     """One order or reading, over all its tries."""
 
     asked: float
-    ended: float                     # answered, or given up
-    what: tuple                      # ("put", ver, body, base), ("read",), ("zone", zone, wanted)
-    said: object                     # "ok", "refused", "unclear", or what a reading gave
+    ended: float  # answered, or given up
+    what: tuple  # ("put", ver, body, base), ("read",), ("zone", zone, wanted)
+    said: object  # "ok", "refused", "unclear", or what a reading gave
 
 
 def configuration(state: tuple, operation: Operation):
--- a/tests/model/acceptors.py
+++ b/tests/model/acceptors.py
@@ -5,6 +5,7 @@
 A vote reaches its proposer, and a tale its learner, at once or never: nothing else changes what is made of it.
 What a voter refuses changes nothing and is no step; what a proposal that has ended asks for is forgotten.
 """
+
 import copy
 import random
 
@@ -47,7 +48,12 @@
 
     def __init__(self, name, configuration):
         self.acceptor, self.name = Acceptor(configuration, 1), name
-        self.ballots, self.barrier, self.tales, self.asks = Ballots(name, 7, Luck()), NO_BALLOT, {}, 0
+        self.ballots, self.barrier, self.tales, self.asks = (
+            Ballots(name, 7, Luck()),
+            NO_BALLOT,
+            {},
+            0,
+        )
         self.freeze()
 
     def thaw(self):
@@ -60,9 +66,19 @@
 
     def freeze(self):
         acceptor = self.acceptor
-        self.state = hash((acceptor.configuration.generation, acceptor.incarnation, acceptor.learned, acceptor.floor,
-                      tuple(sorted(acceptor.slots.items())), self.barrier, self.asks, self.ballots.round,
-                      tuple(sorted((voter, frozen(told)) for voter, told in self.tales.items()))))
+        self.state = hash(
+            (
+                acceptor.configuration.generation,
+                acceptor.incarnation,
+                acceptor.learned,
+                acceptor.floor,
+                tuple(sorted(acceptor.slots.items())),
+                self.barrier,
+                self.asks,
+                self.ballots.round,
+                tuple(sorted((voter, frozen(told)) for voter, told in self.tales.items())),
+            )
+        )
         return self
 
 
@@ -87,9 +103,21 @@
             self.state = hash(proposal.decided)
             return self
         replies = proposal.replies.items()
-        told = tuple(sorted((voter, frozen(reply)) for voter, reply in replies)) if proposal.round == "prepare" else tuple(sorted(proposal.replies))
-        self.state = hash((proposal.round, proposal.ballot, proposal.configuration.generation, proposal.value, told,
-                           tuple(sorted(proposal.accepted))))
+        told = (
+            tuple(sorted((voter, frozen(reply)) for voter, reply in replies))
+            if proposal.round == "prepare"
+            else tuple(sorted(proposal.replies))
+        )
+        self.state = hash(
+            (
+                proposal.round,
+                proposal.ballot,
+                proposal.configuration.generation,
+                proposal.value,
+                told,
+                tuple(sorted(proposal.accepted)),
+            )
+        )
         return self
 
 
@@ -99,15 +127,29 @@
     name, configurations, follows = "", [FIRST], True
 
     def __init__(self, losses=0, doubles=0, early_reply=False):
-        NUMBERS.clear(), MESSAGES.clear()          # one search at a time: its numbers don't depend on those before
+        (
+            NUMBERS.clear(),
+            MESSAGES.clear(),
+        )  # one search at a time: its numbers don't depend on those before
         self.losses, self.doubles, self.early_reply = losses, doubles, early_reply
-        self.voters = {name: Voter(name, FIRST) for name in sorted({v for c in self.configurations for v in c.members})}
+        self.voters = {
+            name: Voter(name, FIRST)
+            for name in sorted({v for c in self.configurations for v in c.members})
+        }
         self.askers, self.bag, self.stage = {}, (), 0
 
     def key(self):
         """The state in short: two worlds alike have the same."""
-        return hash((tuple(voter.state for voter in self.voters.values()), tuple(asker.state for asker in self.askers.values()),
-                self.bag, self.losses, self.doubles, self.stage))
+        return hash(
+            (
+                tuple(voter.state for voter in self.voters.values()),
+                tuple(asker.state for asker in self.askers.values()),
+                self.bag,
+                self.losses,
+                self.doubles,
+                self.stage,
+            )
+        )
 
     def branch(self):
         other = copy.copy(self)
@@ -118,12 +160,18 @@
     def ask(self, name, ver, configuration, above=0):
         ballots = Ballots(name, 7, Luck())
         ballots.round = above
-        proposal = Proposal("k", put_blueprint(ver, b"%d" % ver, 0), configuration, (NO_BALLOT, None), ballots, 0.0)
+        proposal = Proposal(
+            "k", put_blueprint(ver, b"%d" % ver, 0), configuration, (NO_BALLOT, None), ballots, 0.0
+        )
         self.askers[name] = Asker(proposal)
         self.put(name, proposal.messages())
 
     def put(self, source, messages):
-        self.bag = tuple(sorted([*self.bag, *((voter, source, message_id(message)) for voter, message in messages)]))
+        self.bag = tuple(
+            sorted(
+                [*self.bag, *((voter, source, message_id(message)) for voter, message in messages)]
+            )
+        )
 
     def deliver(self, entry, doubled=False, dies=False, unheard=False):
         """The world in which a message of the bag was heard; None if that changes nothing."""
@@ -141,7 +189,7 @@
         voter.freeze()
         if isinstance(reply, Refused) or (reply is None and voter.state == before.state):
             return None
-        if dies:                             # the disk keeps what it had; a reply that waits for it never leaves
+        if dies:  # the disk keeps what it had; a reply that waits for it never leaves
             world.losses -= 1
             world.voters[target] = before
             reply = reply if self.early_reply else None
@@ -149,7 +197,11 @@
             learner = world.voters[source] = world.voters[source].thaw()
             learn(learner, target, reply)
             learner.freeze()
-        elif reply is not None and not unheard and (self.follows or not isinstance(reply, Reconfigured)):
+        elif (
+            reply is not None
+            and not unheard
+            and (self.follows or not isinstance(reply, Reconfigured))
+        ):
             world.answer(source, target, reply)
             world.forget(source)
         return world
@@ -157,8 +209,13 @@
     def forget(self, name):
         """Drops the first rounds of a proposer that are over; they could only make voters refuse more."""
         proposal = self.askers[name].proposal
-        self.bag = tuple(entry for entry in self.bag if entry[1] != name or not isinstance(MESSAGES[entry[2]], Prepare)
-                         or (proposal.outcome is None and MESSAGES[entry[2]].ballot == proposal.ballot))
+        self.bag = tuple(
+            entry
+            for entry in self.bag
+            if entry[1] != name
+            or not isinstance(MESSAGES[entry[2]], Prepare)
+            or (proposal.outcome is None and MESSAGES[entry[2]].ballot == proposal.ballot)
+        )
 
     def answer(self, name, voter, reply):
         """A proposer hears a vote, or who votes now."""
@@ -172,11 +229,15 @@
 
     def check(self):
         """All that is known to be decided is one chain: each value was built on those before."""
-        decided = sorted(asker.proposal.decided for asker in self.askers.values() if asker.proposal.decided)
+        decided = sorted(
+            asker.proposal.decided for asker in self.askers.values() if asker.proposal.decided
+        )
         values = [decode(BlueprintValue, value) for _ballot, value in decided]
         for lower, higher in zip(values, values[1:]):
             if not set(lower.taken.entries) <= set(higher.taken.entries):
-                raise Violation(f"{lower.taken.entries} was decided and is missing from {higher.taken.entries}")
+                raise Violation(
+                    f"{lower.taken.entries} was decided and is missing from {higher.taken.entries}"
+                )
 
     # ------------------------------------------------------------ all that may happen next
     def steps(self):
@@ -243,8 +304,11 @@
         voter = self.voters[VICTIM]
         if self.losses and voter.acceptor.learned and not self.early_reply:
             yield ("wipe", VICTIM), self.wipe
-        above = any(promised > voter.barrier for told in voter.tales.values()
-                    for promised in (told.floor, *(slot[1] for slot in told.slots)))
+        above = any(
+            promised > voter.barrier
+            for told in voter.tales.values()
+            for promised in (told.floor, *(slot[1] for slot in told.slots))
+        )
         if not voter.acceptor.learned and above and voter.asks < 2:
             yield ("ask", VICTIM), self.learn
 
@@ -259,7 +323,9 @@
         world = self.branch()
         voter = world.voters[VICTIM] = world.voters[VICTIM].thaw()
         voter.asks, voter.barrier, voter.tales = voter.asks + 1, voter.ballots.next(), {}
-        world.put(VICTIM, [(other, Tell(voter.barrier)) for other in world.voters if other != VICTIM])
+        world.put(
+            VICTIM, [(other, Tell(voter.barrier)) for other in world.voters if other != VICTIM]
+        )
         voter.freeze()
         return world
 
@@ -274,17 +340,28 @@
 
     def __init__(self, losses=0, doubles=0, early_reply=False, rewrite=True, follows=True):
         super().__init__(losses, doubles, early_reply)
-        self.rewrite, self.follows = rewrite, follows     # whether the first proposer ever hears who votes now
-        self.ask("p", 4, FIRST, above=8)           # the rounds of the change are below, unless this one was heard
+        self.rewrite, self.follows = (
+            rewrite,
+            follows,
+        )  # whether the first proposer ever hears who votes now
+        self.ask(
+            "p", 4, FIRST, above=8
+        )  # the rounds of the change are below, unless this one was heard
 
     def steps(self):
         yield from super().steps()
-        rounds = [(FIRST, [(KEY, follow_on(JOINT))]), (JOINT, [(KEY, again), *([("k", again)] if self.rewrite else [])]),
-                  (JOINT, [(KEY, follow_on(LAST))])]
+        rounds = [
+            (FIRST, [(KEY, follow_on(JOINT))]),
+            (JOINT, [(KEY, again), *([("k", again)] if self.rewrite else [])]),
+            (JOINT, [(KEY, follow_on(LAST))]),
+        ]
         if self.stage < len(rounds):
             configuration, changes = rounds[self.stage]
             for quorum in smallest(configuration):
-                yield ("round", self.stage + 1, *quorum), lambda quorum=quorum: self.whole_round(configuration, changes, quorum)
+                yield (
+                    ("round", self.stage + 1, *quorum),
+                    lambda quorum=quorum: self.whole_round(configuration, changes, quorum),
+                )
         elif "q" not in self.askers:
             yield ("ask", "q"), self.second
 
@@ -303,7 +380,9 @@
                 raise Violation(f"{name} votes by {voter.acceptor.configuration} already")
             voter.acceptor.configuration = configuration
         for key, change in changes:
-            proposal = Proposal(key, change, configuration, (NO_BALLOT, None), Ballots("m", self.stage, Luck()), 0.0)
+            proposal = Proposal(
+                key, change, configuration, (NO_BALLOT, None), Ballots("m", self.stage, Luck()), 0.0
+            )
             for name in quorum:
                 proposal.ballots.saw(world.voters[name].acceptor.slot(key).promised)
             proposal.begin(0.0)
@@ -314,7 +393,7 @@
                     reply, _keys = world.voters[name].acceptor.hear(message)
                     post += proposal.hear(name, reply, 0.0)
             if proposal.outcome is None or proposal.outcome.is_err():
-                return None                  # refused at some voter: no step
+                return None  # refused at some voter: no step
         for name in quorum:
             world.voters[name].freeze()
         return world
@@ -323,7 +402,10 @@
 def smallest(configuration: Configuration) -> list[tuple]:
     """The majorities from which no voter can be taken."""
     members = configuration.members
-    subsets = [tuple(name for bit, name in enumerate(members) if mask >> bit & 1) for mask in range(1 << len(members))]
+    subsets = [
+        tuple(name for bit, name in enumerate(members) if mask >> bit & 1)
+        for mask in range(1 << len(members))
+    ]
     enough = [voices for voices in subsets if configuration.has_quorum(voices)]
     return [voices for voices in enough if not any(set(other) < set(voices) for other in enough)]
 
--- a/tests/model/explore.py
+++ b/tests/model/explore.py
@@ -1,4 +1,5 @@
 """Searches a small world whole: every order of all steps, each state once."""
+
 import random
 import time
 from typing import NamedTuple
--- a/tests/model/faults.py
+++ b/tests/model/faults.py
@@ -1,4 +1,5 @@
 """Mechanisms taken out, one at a time: what the searches must notice."""
+
 from contextlib import contextmanager
 
 import msgspec
@@ -14,9 +15,11 @@
 
 def without(name: str, owner, attribute: str):
     """Registers what takes the place of a method: a function of the original that gives the faulty one."""
+
     def register(function):
         WITHOUT[name] = (owner, attribute, function)
         return function
+
     return register
 
 
@@ -38,9 +41,14 @@
 @without("promise", Acceptor, "hear")
 def forget_the_promise(original):
     def hear(self, message):
-        if not isinstance(message, Query) and message.key in self.slots and message.ballot < self.slots[message.key].promised:
+        if (
+            not isinstance(message, Query)
+            and message.key in self.slots
+            and message.ballot < self.slots[message.key].promised
+        ):
             self.slots[message.key] = self.slots[message.key]._replace(promised=NO_BALLOT)
         return original(self, message)
+
     return hear
 
 
@@ -50,13 +58,17 @@
         if isinstance(message, Accept):
             message = msgspec.structs.replace(message, incarnation=self.incarnation)
         return original(self, message)
+
     return hear
 
 
 @without("generation", Acceptor, "hear")
 def vote_in_any_configuration(original):
     def hear(self, message):
-        return original(self, msgspec.structs.replace(message, configuration=self.configuration.generation))
+        return original(
+            self, msgspec.structs.replace(message, configuration=self.configuration.generation)
+        )
+
     return hear
 
 
@@ -68,9 +80,22 @@
 @without("barrier", Acceptor, "learn")
 def learn_from_any_tale(original):
     def learn(self, tales, barrier=NO_BALLOT):
-        return original(self, {voter: Told(told.configuration, [
-            (key, barrier, accepted, value) for key, _promised, accepted, value in told.slots], barrier)
-            for voter, told in tales.items()}, barrier)
+        return original(
+            self,
+            {
+                voter: Told(
+                    told.configuration,
+                    [
+                        (key, barrier, accepted, value)
+                        for key, _promised, accepted, value in told.slots
+                    ],
+                    barrier,
+                )
+                for voter, told in tales.items()
+            },
+            barrier,
+        )
+
     return learn
 
 
@@ -87,9 +112,25 @@
 @without("counted", Proposal, "hear")
 def ask_the_late_too(original):
     def hear(self, voter, message, now):
-        late = isinstance(message, Promise) and self.round == "accept" and message.ballot == self.ballot
+        late = (
+            isinstance(message, Promise)
+            and self.round == "accept"
+            and message.ballot == self.ballot
+        )
         if late and self.outcome is None and self.resume_at is None and voter not in self.replies:
             self.replies[voter] = message
-            return [(voter, Accept(self.key, self.ballot, self.value, message.incarnation, self.configuration.generation))]
+            return [
+                (
+                    voter,
+                    Accept(
+                        self.key,
+                        self.ballot,
+                        self.value,
+                        message.incarnation,
+                        self.configuration.generation,
+                    ),
+                )
+            ]
         return original(self, voter, message, now)
+
     return hear
--- a/tests/model/machine.py
+++ b/tests/model/machine.py
@@ -1,4 +1,5 @@
 """The world of nodes as a state machine: the steps are drawn, and shrunk to the fewest that break an invariant."""
+
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
@@ -6,8 +7,14 @@
 from .walk import STEPS
 from .world import NodeWorld
 
-BOUNDED = settings(derandomize=True, database=None, deadline=None, max_examples=25, stateful_step_count=25,
-                   suppress_health_check=list(HealthCheck))
+BOUNDED = settings(
+    derandomize=True,
+    database=None,
+    deadline=None,
+    max_examples=25,
+    stateful_step_count=25,
+    suppress_health_check=list(HealthCheck),
+)
 NUMBERS = st.integers(0, 10**4)
 QUICK = ["deliver", "double", "drop", "sync", "tick"]
 ORDERS = ["put", "race", "put_again", "claim", "read"]
--- a/tests/model/walk.py
+++ b/tests/model/walk.py
@@ -1,11 +1,12 @@
 """Random walks through the world of nodes: a seed gives a schedule, the same one every time."""
+
 import random
 from typing import NamedTuple
 
 from .acceptors import Violation
 from .world import NodeWorld
 
-ORDERS = 40              # of one walk; a value remembers the last 64 orders it took
+ORDERS = 40  # of one walk; a value remembers the last 64 orders it took
 
 
 def pick(world, number, names=None):
@@ -38,7 +39,9 @@
     if ip is None or not world.whole():
         return
     others = [other for other in world.nodes if other != ip]
-    world.cut = {(ip, other) for other in others} | ({(other, ip) for other in others} if both else set())
+    world.cut = {(ip, other) for other in others} | (
+        {(other, ip) for other in others} if both else set()
+    )
 
 
 def frozen(world, number):
@@ -66,7 +69,10 @@
     "deliver": lambda world, number: (world.deliver(number), world.collect()),
     "double": lambda world, number: (world.deliver(number, doubled=True), world.collect()),
     "drop": lambda world, number: world.drop(number),
-    "sync": lambda world, number: (world.sync(pick(world, number, set(world.nodes) - world.frozen) or pick(world, number)), world.collect()),
+    "sync": lambda world, number: (
+        world.sync(pick(world, number, set(world.nodes) - world.frozen) or pick(world, number)),
+        world.collect(),
+    ),
     "tick": lambda world, number: world.tick(),
     "busy": lambda world, number: world.busy(1 + number % 20),
     "long": lambda world, number: world.busy(60),
