--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -1,10 +1,11 @@
 """The priority lane comes into force only when every counter holds the offer."""
+
 import pytest
 
+from sumacloom.agreement.values import decode
 from sumacloom.registrar import duties
 from sumacloom.registrar.lanes import KEY, LanesValue, enforce, offer
 from sumacloom.registrar.members import SESSION_S
-from sumacloom.agreement.values import decode
 
 from .test_control import Fleet
 
@@ -55,7 +56,7 @@
     assert fleet.decide(others[0], offer(["books"]), KEY).is_ok()
     play(fleet, 5.0, {"edge-1": 2}, others[0])
     assert value(fleet, others[1]).in_force
-    assert not fleet.offices[holder].settled(fleet.now)        # its counters must not rely on it
+    assert not fleet.offices[holder].settled(fleet.now)  # its counters must not rely on it
     fleet.cut.clear()
     play(fleet, 2.0, {"edge-1": 3}, others[0])
     assert fleet.offices[holder].board.lanes.databases == ["books"]
@@ -75,6 +76,7 @@
 @pytest.mark.parametrize("current, change, expected", OFFERS)
 def test_changes_of_the_lanes(current, change, expected):
     import msgspec
+
     result = change(None if current is None else msgspec.msgpack.encode(current))
     if isinstance(expected, str):
         assert result.err().name == expected
