--- a/tests/test_pooling.py
+++ b/tests/test_pooling.py
@@ -1,10 +1,12 @@
 """Pool modes: what sessions do and what is judged of it, wrong judgements, and a fleet on a busy Saturday."""
+
 import json
 from collections import Counter, deque
 
 import curio
 import pytest
 
+from sumacloom.agreement.values import decode, put_blueprint
 from sumacloom.common.http import Request
 from sumacloom.common.settings import PoolSettings, parse_settings
 from sumacloom.counter import losses
@@ -15,7 +17,6 @@
 from sumacloom.courier.news import PoolNews, PoolRow
 from sumacloom.fleet import pooling as command
 from sumacloom.registrar import pooling
-from sumacloom.agreement.values import decode, put_blueprint
 
 from .stage import Stage
 from .test_fleet import Stub, refusal, reply
@@ -33,16 +34,34 @@
 # ---------------------------------------------------------------- what is judged of what sessions do
 JUDGED = [
     # (row held, requests, of them with state, seconds, what the counter says)
-    (None, 19, 0, 60.0, []),                                        # too few to tell
-    (None, 60, 0, 9.0, []),                                         # too soon
+    (None, 19, 0, 60.0, []),  # too few to tell
+    (None, 60, 0, 9.0, []),  # too soon
     (None, 60, 9, 11.0, [("books", "", "statement", 0)]),
-    (None, 60, 10, 11.0, []),                                       # a sixth of them: between the two bounds
+    (None, 60, 10, 11.0, []),  # a sixth of them: between the two bounds
     (PoolRow("books", "statement", since=3), 60, 17, 11.0, []),
-    (PoolRow("books", "statement", since=3), 20, 6, 0.1, [("books", "", "transaction", 3)]),    # at once
+    (
+        PoolRow("books", "statement", since=3),
+        20,
+        6,
+        0.1,
+        [("books", "", "transaction", 3)],
+    ),  # at once
     (PoolRow("books", "statement", pinned=True), 20, 20, 11.0, []),
     (PoolRow("books", "transaction", pinned=True), 60, 0, 11.0, []),
-    (PoolRow("books", "transaction", strikes=1, since=4), 60, 0, 19.0, []),                     # taken back once: twice as long
-    (PoolRow("books", "transaction", strikes=1, since=4), 60, 0, 21.0, [("books", "", "statement", 4)]),
+    (
+        PoolRow("books", "transaction", strikes=1, since=4),
+        60,
+        0,
+        19.0,
+        [],
+    ),  # taken back once: twice as long
+    (
+        PoolRow("books", "transaction", strikes=1, since=4),
+        60,
+        0,
+        21.0,
+        [("books", "", "statement", 4)],
+    ),
 ]
 
 
@@ -53,13 +72,19 @@
     for number in range(requests):
         found.seen(session(), number < stateful, NOW)
     assert [mind for mind in found.minds(NOW + seconds) if not mind[1]] == said
-    assert not found.minds(NOW + seconds + 0.1)                      # said once, and again only later
+    assert not found.minds(NOW + seconds + 0.1)  # said once, and again only later
     assert [mind for mind in found.minds(NOW + seconds + 4.0) if not mind[1]] == said or not said
 
 
-SIGNS = [("QUERY 1 BEGIN", "transaction"), ("QUERY 1 SET a b", "transaction"), ("QUERY 1 PREP s FETCH q", "transaction"),
-         ("QUERY 1 BEGIN FETCH", "transaction"), ("QUERY 1 PUT a b", "statement"), ("QUERY 1 FETCH a", "statement"),
-         ("QUERY 1 FREE s", "statement")]
+SIGNS = [
+    ("QUERY 1 BEGIN", "transaction"),
+    ("QUERY 1 SET a b", "transaction"),
+    ("QUERY 1 PREP s FETCH q", "transaction"),
+    ("QUERY 1 BEGIN FETCH", "transaction"),
+    ("QUERY 1 PUT a b", "statement"),
+    ("QUERY 1 FETCH a", "statement"),
+    ("QUERY 1 FREE s", "statement"),
+]
 
 
 @pytest.mark.parametrize("line, mode", SIGNS)
@@ -79,10 +104,10 @@
     found.seen(one, True, NOW)
     for number in range(20):
         found.seen(one, False, NOW + 0.1 * number)
-    assert one.mode == "transaction"                                # many, but too soon
+    assert one.mode == "transaction"  # many, but too soon
     one.values["a"] = "1"
     found.seen(one, False, NOW + 6.0)
-    assert one.mode == "transaction"                                # a value stands
+    assert one.mode == "transaction"  # a value stands
     one.values.clear()
     found.seen(one, False, NOW + 6.1)
     assert one.mode == "statement"
@@ -93,7 +118,10 @@
     found.take(1, {"books": PoolRow("books", "statement", since=1)})
     for _session in range(2):
         found.seen(session(who="clerk"), True, NOW)
-    assert found.mode("books", "clerk") == "transaction" and found.mode("books", "other") == "statement"
+    assert (
+        found.mode("books", "clerk") == "transaction"
+        and found.mode("books", "other") == "statement"
+    )
     assert ("books", "clerk", "transaction", 1) in found.minds(NOW)
     other = Pooling(PoolSettings())
     other.take(2, {"books": PoolRow("books", "statement", exceptions=["clerk"])})
@@ -112,15 +140,65 @@
 CHANGES = [
     # (changes, mode, pinned, strikes, what the last comes to)
     ([pooling.judge([ON])], "statement", False, 0, "ok"),
-    ([pooling.judge([ON]), pooling.judge([ON])], "statement", False, 0, "same"),                       # two counters, or a repeat
-    ([pooling.judge([ON]), pooling.judge([("books", "", "transaction", 1)])], "transaction", False, 1, "ok"),
-    ([pooling.judge([ON]), pooling.judge([("books", "", "transaction", 0)])], "statement", False, 0, "same"),     # of an older row
-    ([pooling.judge([ON]), pooling.judge([("books", "", "transaction", 1), ("books", "", "statement", 1)])],
-     "transaction", False, 1, "ok"),                                                                   # tightening stands
-    ([pooling.pin("books", "transaction"), pooling.judge([("books", "", "statement", 1)])], "transaction", True, 0, "same"),
-    ([pooling.pin("books", "statement"), pooling.pin("books", "auto")], "transaction", False, 0, "ok"),
-    ([pooling.pin("books", "statement"), pooling.pin("books", "statement")], "statement", True, 0, "same"),
-    ([pooling.pin("books", "statement", 0), pooling.pin("books", "transaction", 0)], "statement", True, 0, "stale_match"),
+    (
+        [pooling.judge([ON]), pooling.judge([ON])],
+        "statement",
+        False,
+        0,
+        "same",
+    ),  # two counters, or a repeat
+    (
+        [pooling.judge([ON]), pooling.judge([("books", "", "transaction", 1)])],
+        "transaction",
+        False,
+        1,
+        "ok",
+    ),
+    (
+        [pooling.judge([ON]), pooling.judge([("books", "", "transaction", 0)])],
+        "statement",
+        False,
+        0,
+        "same",
+    ),  # of an older row
+    (
+        [
+            pooling.judge([ON]),
+            pooling.judge([("books", "", "transaction", 1), ("books", "", "statement", 1)]),
+        ],
+        "transaction",
+        False,
+        1,
+        "ok",
+    ),  # tightening stands
+    (
+        [pooling.pin("books", "transaction"), pooling.judge([("books", "", "statement", 1)])],
+        "transaction",
+        True,
+        0,
+        "same",
+    ),
+    (
+        [pooling.pin("books", "statement"), pooling.pin("books", "auto")],
+        "transaction",
+        False,
+        0,
+        "ok",
+    ),
+    (
+        [pooling.pin("books", "statement"), pooling.pin("books", "statement")],
+        "statement",
+        True,
+        0,
+        "same",
+    ),
+    (
+        [pooling.pin("books", "statement", 0), pooling.pin("books", "transaction", 0)],
+        "statement",
+        True,
+        0,
+        "stale_match",
+    ),
 ]
 
 
@@ -146,10 +224,15 @@
 
 def test_news_is_what_changed_and_one_that_does_not_follow_is_not_taken():
     boards = Board(), Board(), Board()
-    one = pooling.PoolValue(1, [PoolRow(f"d{number}", "statement", since=1) for number in range(500)])
+    one = pooling.PoolValue(
+        1, [PoolRow(f"d{number}", "statement", since=1) for number in range(500)]
+    )
     for board in boards[:2]:
         assert board.take(News(None, 0, None, None, pooling=one.news()))
-    later = pooling.PoolValue(2, [PoolRow("d7", "transaction", since=2), *(row for row in one.rows if row.database != "d7")])
+    later = pooling.PoolValue(
+        2,
+        [PoolRow("d7", "transaction", since=2), *(row for row in one.rows if row.database != "d7")],
+    )
     assert boards[0].take(News(None, 0, None, None, pooling=later.news()))
     news = boards[0].news_for(boards[1].digest())
     assert [row.database for row in news.pooling.rows] == ["d7"] and not boards[2].take(news)
@@ -173,23 +256,41 @@
     board = Board()
     board.take(News(blueprint(3), 0, None, None))
     shell = type("Shell", (), {"office": type("Office", (), {"board": board})})
-    found = curio.run(pooling.put_mode, shell, Request("PUT", "/api/admin/pooling", headers, json.dumps(body).encode()))
+    found = curio.run(
+        pooling.put_mode,
+        shell,
+        Request("PUT", "/api/admin/pooling", headers, json.dumps(body).encode()),
+    )
     assert found.status == status and json.loads(found.body)["error"] == name
 
 
-@pytest.mark.parametrize("text", ["relaxShare = 0.5", "tightenShare = 1.5", "relaxRequests = 0", "sessionS = -1"])
+@pytest.mark.parametrize(
+    "text", ["relaxShare = 0.5", "tightenShare = 1.5", "relaxRequests = 0", "sessionS = -1"]
+)
 def test_settings_are_checked(text):
-    found = parse_settings(f'''node = "n"\nrole = "counter"\nip = "10.0.0.1"\naz = "z"
-[listen]\nfe = "10.0.0.1:80"\nreadyz = "10.0.0.1:81"\n[pooling]\n{text}''', "counter")
+    found = parse_settings(
+        f"""node = "n"\nrole = "counter"\nip = "10.0.0.1"\naz = "z"
+[listen]\nfe = "10.0.0.1:80"\nreadyz = "10.0.0.1:81"\n[pooling]\n{text}""",
+        "counter",
+    )
     assert found.err().name == "settings_invalid" and "pooling" in found.err().sentence
 
 
-NODES = [{"node": "core", "generation": 3, "digest": "aa"}, {"node": "edge-1", "generation": 3, "digest": "aa"}]
+NODES = [
+    {"node": "core", "generation": 3, "digest": "aa"},
+    {"node": "edge-1", "generation": 3, "digest": "aa"},
+]
 
 
-@pytest.mark.parametrize("rows, code", [
-    (NODES, 0), ([*NODES, {"node": "edge-2", "generation": 2, "digest": "bb"}], 6),
-    ([*NODES, {"node": "edge-2", "generation": 3, "digest": "bb"}], 6), ([*NODES, {"node": "edge-2", "generation": 0, "digest": ""}], 6)])
+@pytest.mark.parametrize(
+    "rows, code",
+    [
+        (NODES, 0),
+        ([*NODES, {"node": "edge-2", "generation": 2, "digest": "bb"}], 6),
+        ([*NODES, {"node": "edge-2", "generation": 3, "digest": "bb"}], 6),
+        ([*NODES, {"node": "edge-2", "generation": 0, "digest": ""}], 6),
+    ],
+)
 def test_the_command_names_who_holds_another_judgement(rows, code, capsys):
     assert command.show(at=Stub(reply(200, rows)).address, nodes=True) == code
     assert ("1309" in capsys.readouterr().err) == bool(code)
@@ -213,7 +314,7 @@
     stage.say(2, "QUERY 2 BEGIN", "QUERY 3 PUT a c")
     stage.say(3, "QUERY 4 BEGIN", "QUERY 5 PUT a d")
     begun = [wire for wire in (lead, second) if "QUERY - BEGIN" in stage.take(wire.key)]
-    assert len(begun) == 1                                                          # the third waits: one wire is kept
+    assert len(begun) == 1  # the third waits: one wire is kept
     stage.say(1, "QUERY 6 PUT a e")
     free = second if begun == [lead] else lead
     assert stage.take(free.key) == ["QUERY 6 PUT a e"]
@@ -224,7 +325,7 @@
     """Looks things up, now and then in a transaction; writes nothing."""
 
     def tick(self, now):
-        self.number, number = 1, self.number                                        # single statements
+        self.number, number = 1, self.number  # single statements
         super().tick(now)
         self.number = number
 
@@ -245,7 +346,7 @@
         if wrong:
             for desk in self.desks:
                 desk.floor.pooling.mode = lambda _database, _who: "statement"
-                desk.floor.pooling.seen = lambda *_seen: None                       # and it never learns better
+                desk.floor.pooling.seen = lambda *_seen: None  # and it never learns better
 
     def start_desk(self, region=""):
         desk = super().start_desk(region)
@@ -263,36 +364,56 @@
             if len(words) > 2 and words[2] == "COMMIT" and wires.get(int(words[1], 16) - 2) != wire:
                 self.split_transactions.append(line)
             return hear(wire, line)
+
         store.hear = checked
 
     def crash(self, name):
         """The primary dies and comes back with its log: every wire and open transaction is gone."""
         self.stores[name].open.clear()
-        self.post = deque(entry for entry in self.post if entry[3] != name)         # what was under way is lost with it
+        self.post = deque(
+            entry for entry in self.post if entry[3] != name
+        )  # what was under way is lost with it
         for desk in self.desks:
             for wire in [wire for wire in desk.floor.wires.values() if wire.backend == name]:
                 losses.wire_lost(desk.floor, wire, "the primary died", self.land.now)
 
     def agreed(self):
-        return {(board.pooling, pool_digest(board.pool_rows))
-                for board in [*(desk.board for desk in self.desks), *(one.board for one in self.land.offices.values())]}
+        return {
+            (board.pooling, pool_digest(board.pool_rows))
+            for board in [
+                *(desk.board for desk in self.desks),
+                *(one.board for one in self.land.offices.values()),
+            ]
+        }
 
 
 def check_writes(town):
     counts = Counter(town.written())
-    acked = [token for client in town.clients if client not in town.searchers for token in client.acked]
+    acked = [
+        token for client in town.clients if client not in town.searchers for token in client.acked
+    ]
     doubtful = {token for client in town.clients for token in client.doubtful}
-    assert len(acked) > 50 and all(counts[token] == 1 for token in acked)           # none missing, none doubled
-    assert set(counts.values()) == {1} and set(counts) <= {*acked} | doubtful and not town.split_transactions
+    assert len(acked) > 50 and all(
+        counts[token] == 1 for token in acked
+    )  # none missing, none doubled
+    assert (
+        set(counts.values()) == {1}
+        and set(counts) <= {*acked} | doubtful
+        and not town.split_transactions
+    )
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_a_saturday_ends_without_a_missing_or_doubled_write_and_all_nodes_agree(seed):
     town = Saturday(seed)
-    town.decide("10.0.0.1", "blueprint", put_blueprint(4, blueprint(4, databases=("books", "search")), 0))
+    town.decide(
+        "10.0.0.1", "blueprint", put_blueprint(4, blueprint(4, databases=("books", "search")), 0)
+    )
     town.run(9.0)
     assert town.desks[0].floor.pooling.of("search").mode == "statement"
-    assert town.desks[0].floor.pooling.of("books").mode == "transaction"             # half of them are transactions
+    assert (
+        town.desks[0].floor.pooling.of("books").mode == "transaction"
+    )  # half of them are transactions
     town.crash("p")
     town.run(0.5)
     town.split(True)
@@ -313,20 +434,25 @@
     town.end()
     check_writes(town)
     assert len(town.agreed()) == 1 and town.desks[-1].board.pool_rows["books"].pinned
-    assert all(desk.floor.pooling.mode("search", "x") == "statement" for desk in town.desks)   # joined ones, too
-    for ip in list(town.land.offices):                                              # all power is lost; the disks are kept
+    assert all(
+        desk.floor.pooling.mode("search", "x") == "statement" for desk in town.desks
+    )  # joined ones, too
+    for ip in list(town.land.offices):  # all power is lost; the disks are kept
         town.land.kill(ip)
     for number in (1, 2, 3):
         town.land.start(f"10.0.0.{number}")
     town.run(3.0)
-    assert {row.database: row.mode for row in town.land.offices["10.0.0.2"].board.pool_rows.values()} == {
-        "search": "statement", "books": "transaction"}
+    assert {
+        row.database: row.mode for row in town.land.offices["10.0.0.2"].board.pool_rows.values()
+    } == {"search": "statement", "books": "transaction"}
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_judgement_wrong_for_every_session_splits_and_doubles_nothing(seed):
     town = Saturday(seed, wrong=True)
-    town.decide("10.0.0.1", "blueprint", put_blueprint(4, blueprint(4, databases=("books", "search")), 0))
+    town.decide(
+        "10.0.0.1", "blueprint", put_blueprint(4, blueprint(4, databases=("books", "search")), 0)
+    )
     town.run(3.0)
     for _crash in range(3):
         town.crash("p")
@@ -350,6 +476,7 @@
         def counted(*values, look=look, count=count):
             count[0] += 1
             return look(*values)
+
         stage.floor.yard.lead_candidates = counted
         stage.answer(lead, "DONE 7.1", "READY I 1.11")
         looks[size] = count[0]
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,4 +1,5 @@
 """Garbage on every port, through the real HTTP code and cores, over socket pairs; others don't notice."""
+
 import random
 import socket
 
@@ -6,14 +7,15 @@
 import pytest
 
 from sumacloom.common import http
-from sumacloom.registrar.roster import Roster
 from sumacloom.courier.board import Board
+from sumacloom.registrar.roster import Roster
 
 from .stage import Stage
 
 
 def exchange(data: bytes, handler=None, most_body=64) -> bytes:
     """What the HTTP server says to some bytes."""
+
     async def plain(request):
         return handler(request) if handler else http.Reply(404)
 
@@ -24,6 +26,7 @@
         await http.serve_wire(curio.io.Socket(ours), plain, most_body)
         theirs.setblocking(True)
         return b"".join(iter(lambda: theirs.recv(65536), b""))
+
     return curio.run(run)
 
 
@@ -52,11 +55,17 @@
     for key in range(100, 160):
         stage.floor.session_opened(key, stage.now)
         noise = source.randbytes(source.randrange(1, 400))
-        stage.floor.session_data(key, noise if key % 2 else b"LOGIN books x\r\nQUERY " + noise + b"\r\n", stage.now)
+        stage.floor.session_data(
+            key, noise if key % 2 else b"LOGIN books x\r\nQUERY " + noise + b"\r\n", stage.now
+        )
         stage.act()
     assert not [line for line in stage.take(lead.key) if not line.startswith("QUERY")]
     stage.say(1, "QUERY 1 PUT a b")
-    busy = [wire for wire in stage.floor.wires.values() if "QUERY 1 PUT a b" in stage.sent.get(wire.key, [])]
+    busy = [
+        wire
+        for wire in stage.floor.wires.values()
+        if "QUERY 1 PUT a b" in stage.sent.get(wire.key, [])
+    ]
     assert busy == [lead]
     stage.answer(lead, "DONE 7.1", "READY I 1.12")
     assert stage.take(1) == ["DONE 7.1", "READY I 1.12"]
@@ -87,10 +96,12 @@
     yard.count_members(2, 0.0)
     assert yard.cap(backend, now) == 14
     yard.count_members(4, 1.0)
-    yard.count_members(2, 2.0)                                 # wires of the two outlive them for a while
+    yard.count_members(2, 2.0)  # wires of the two outlive them for a while
     assert yard.cap(backend, now) == 7
-    yard.members = 100                                         # a fleet larger than the backend's connections
-    assert yard.cap(backend, now) == 1 and yard.cap(backend, now + 6) == 4 and yard.share(backend) < 1
+    yard.members = 100  # a fleet larger than the backend's connections
+    assert (
+        yard.cap(backend, now) == 1 and yard.cap(backend, now + 6) == 4 and yard.share(backend) < 1
+    )
 
 
 def test_a_crowded_backend_is_not_taken_for_a_dark_one():
@@ -100,7 +111,9 @@
     stage.floor.dial(backend, stage.now)
     stage.act()
     stage.lose(next(wire for wire in stage.wires("p") if wire is not lead))
-    assert backend.dark_since is None and not stage.floor.mishaps and backend.crowded_until > stage.now
+    assert (
+        backend.dark_since is None and not stage.floor.mishaps and backend.crowded_until > stage.now
+    )
     stage.lose(lead)
     stage.now += 1.0
     stage.floor.dial(backend, stage.now)
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -1,16 +1,24 @@
 """The register under lost messages, crashes between rounds, duels and lost disks, by seeded schedules."""
+
 import random
 
 import msgspec
 import pytest
 
-
-from sumacloom.common.types import NO_BALLOT, Ballot
-from sumacloom.courier.messages import Accept, Configuration, Prepare
 from sumacloom.agreement.acceptor import Acceptor, Slot
 from sumacloom.agreement.proposer import Ballots, Proposal
-from sumacloom.agreement.values import (BlueprintValue, DutyValue, EvacuationsValue, claim_duty, decode, evacuate, keep,
-                                        put_blueprint)
+from sumacloom.agreement.values import (
+    BlueprintValue,
+    DutyValue,
+    EvacuationsValue,
+    claim_duty,
+    decode,
+    evacuate,
+    keep,
+    put_blueprint,
+)
+from sumacloom.common.types import NO_BALLOT, Ballot
+from sumacloom.courier.messages import Accept, Configuration, Prepare
 
 VOTERS = ["a", "b", "c"]
 PANEL = Configuration(1, (), tuple(VOTERS))
@@ -30,7 +38,9 @@
         slot = self.acceptors[at].slots.get("k", Slot())
         ballots = Ballots(at, self.random.getrandbits(40), self.random)
         ballots.saw(slot.promised)
-        proposal = Proposal("k", change, PANEL, (slot.accepted, slot.value), ballots, self.now, 3.0, reading)
+        proposal = Proposal(
+            "k", change, PANEL, (slot.accepted, slot.value), ballots, self.now, 3.0, reading
+        )
         self.proposals.append((at, proposal))
         self.send(at, proposal, proposal.messages())
         return proposal
@@ -59,7 +69,9 @@
         """The process dies; its proposals with it. Without its disk it must learn before it votes."""
         self.proposals = [(at, proposal) for at, proposal in self.proposals if at != voter]
         old = self.acceptors[voter]
-        fresh = Acceptor(PANEL, old.incarnation if disk else self.random.getrandbits(40), learned=disk)
+        fresh = Acceptor(
+            PANEL, old.incarnation if disk else self.random.getrandbits(40), learned=disk
+        )
         if disk:
             fresh.slots = dict(self.disks[voter])
         else:
@@ -75,7 +87,9 @@
                 if other == voter or other in self.down:
                     continue
                 teller = self.acceptors[other]
-                self.disks[other].update((key, teller.slots[key]) for key in teller.raise_floor(barrier))
+                self.disks[other].update(
+                    (key, teller.slots[key]) for key in teller.raise_floor(barrier)
+                )
                 tales[other] = teller.tell()
                 for _key, promised, *_rest in tales[other].slots:
                     ballots.saw(promised)
@@ -91,7 +105,10 @@
 def run_until_done(cluster, steps=2500):
     for _step in range(steps):
         cluster.step()
-        if all(proposal.outcome is not None for _at, proposal in cluster.proposals) and not cluster.post:
+        if (
+            all(proposal.outcome is not None for _at, proposal in cluster.proposals)
+            and not cluster.post
+        ):
             break
 
 
@@ -102,19 +119,27 @@
     acknowledged, base = [], 0
     for generation in range(1, 6):
         racing = [
-            cluster.propose(at, put_blueprint(generation * 10 + place, b"%d" % (generation * 10 + place), base))
+            cluster.propose(
+                at, put_blueprint(generation * 10 + place, b"%d" % (generation * 10 + place), base)
+            )
             for place, at in enumerate(cluster.random.sample(VOTERS, 2))
         ]
         for _step in range(cluster.random.randrange(60)):
             cluster.step()
         victim = cluster.random.choice(VOTERS)
-        if cluster.random.random() < 0.7 and all(acceptor.learned for acceptor in cluster.acceptors.values()):
+        if cluster.random.random() < 0.7 and all(
+            acceptor.learned for acceptor in cluster.acceptors.values()
+        ):
             cluster.crash(victim, disk=cluster.random.random() < 0.5)
         run_until_done(cluster)
         for voter in VOTERS:
             if not cluster.acceptors[voter].learned:
                 assert cluster.relearn(voter)
-        won = [proposal for proposal in racing if proposal.outcome is not None and proposal.outcome.is_ok()]
+        won = [
+            proposal
+            for proposal in racing
+            if proposal.outcome is not None and proposal.outcome.is_ok()
+        ]
         assert len(won) <= 1
         reading = cluster.propose("a", keep, reading=True)
         run_until_done(cluster)
@@ -146,12 +171,15 @@
     cluster.down.add("b")
     assert not cluster.relearn("c")
     cluster.down.clear()
-    assert cluster.relearn("c") and cluster.acceptors["c"].slots["k"].accepted >= done.outcome.ok()[0]
+    assert (
+        cluster.relearn("c") and cluster.acceptors["c"].slots["k"].accepted >= done.outcome.ok()[0]
+    )
 
 
 def test_a_vote_given_before_the_loss_is_not_counted_with_one_given_after_the_tale():
     """Found by reasoning on in-flight accepts: a voted, lost its disk and learned; the accept that was
-    still on its way to b must then be refused, or two values are decided on one generation."""
+    still on its way to b must then be refused, or two values are decided on one generation.
+    """
     acceptors = {voter: Acceptor(PANEL, number) for number, voter in enumerate(VOTERS)}
     ballot = Ballot(5, "p", 1)
     for voter in ("a", "c"):
@@ -163,26 +191,35 @@
         for voter in ("b", "c"):
             acceptors[voter].raise_floor(barrier)
         learned = reborn.learn({voter: acceptors[voter].tell() for voter in ("b", "c")}, barrier)
-        assert (learned is None) == (round_number == 1)       # c had promised 5: a barrier of 1 is not enough
+        assert (learned is None) == (
+            round_number == 1
+        )  # c had promised 5: a barrier of 1 is not enough
     late, _keys = acceptors["b"].hear(Prepare("k", ballot, NO_BALLOT))
     assert type(late).__name__ == "Refused"
 
 
 def test_a_promise_given_before_the_loss_lets_no_late_voter_into_the_second_round():
     """Found by reading and by the model: b promised, lost its disk and learned below that ballot; a value was
-    decided at a and b; then a, asked late, was sent the older proposal's value though it told of the newer."""
+    decided at a and b; then a, asked late, was sent the older proposal's value though it told of the newer.
+    """
     acceptors = {voter: Acceptor(PANEL, number) for number, voter in enumerate(VOTERS)}
     source = random.Random(1)
-    late = Proposal("k", put_blueprint(5, b"5", 0), PANEL, (NO_BALLOT, None), Ballots("q", 1, source), 0.0)
+    late = Proposal(
+        "k", put_blueprint(5, b"5", 0), PANEL, (NO_BALLOT, None), Ballots("q", 1, source), 0.0
+    )
     asked = dict(late.messages())
     promise, _keys = acceptors["b"].hear(asked["b"])
     assert late.hear("b", promise, 0.0) == []
     reborn, barrier = Acceptor(PANEL, 9, learned=False), Ballot(1, "b", 2)
     for voter in ("a", "c"):
         acceptors[voter].raise_floor(barrier)
-    assert reborn.learn({voter: acceptors[voter].tell() for voter in ("a", "c")}, barrier) is not None
+    assert (
+        reborn.learn({voter: acceptors[voter].tell() for voter in ("a", "c")}, barrier) is not None
+    )
     acceptors["b"] = reborn
-    early = Proposal("k", put_blueprint(4, b"4", 0), PANEL, (NO_BALLOT, None), Ballots("p", 1, source), 0.0)
+    early = Proposal(
+        "k", put_blueprint(4, b"4", 0), PANEL, (NO_BALLOT, None), Ballots("p", 1, source), 0.0
+    )
     post = [(early, entry) for entry in early.messages() if entry[0] != "c"]
     post += [(late, ("c", asked["c"])), (late, ("a", asked["a"]))]
     while post:
@@ -197,7 +234,14 @@
 def test_a_voter_asked_late_takes_part_in_a_fresh_round():
     """One of the two that promised dies before it accepts: the third carries the change, well before the cutoff."""
     acceptors = {voter: Acceptor(PANEL, number) for number, voter in enumerate(VOTERS)}
-    proposal = Proposal("k", put_blueprint(5, b"5", 0), PANEL, (NO_BALLOT, None), Ballots("a", 1, random.Random(1)), 0.0)
+    proposal = Proposal(
+        "k",
+        put_blueprint(5, b"5", 0),
+        PANEL,
+        (NO_BALLOT, None),
+        Ballots("a", 1, random.Random(1)),
+        0.0,
+    )
     asked = dict(proposal.messages())
     for voter in VOTERS:
         proposal.hear(voter, acceptors[voter].hear(asked[voter])[0], 0.0)
@@ -240,12 +284,16 @@
 CHANGES = [
     (put_blueprint(3, b"x", 0), None, "ok"),
     (put_blueprint(3, b"x", 1), None, "stale_match"),
-    (put_blueprint(3, b"x", 0), BlueprintValue(3, b"x", [(3, "2d711642b726b04401627ca9fbac32f5")]), "same"),
+    (
+        put_blueprint(3, b"x", 0),
+        BlueprintValue(3, b"x", [(3, "2d711642b726b04401627ca9fbac32f5")]),
+        "same",
+    ),
     (put_blueprint(3, b"y", 3), BlueprintValue(3, b"w", []), "old_generation"),
     (put_blueprint(2, b"y", 3), BlueprintValue(3, b"w", []), "old_generation"),
     (put_blueprint(7, b"y", 3), BlueprintValue(3, b"w", []), "ok"),
     (evacuate("z", True), None, "ok"),
-    (evacuate("z", False), None, "ok"),                        # written, so that an order before it can't be finished
+    (evacuate("z", False), None, "ok"),  # written, so that an order before it can't be finished
     (evacuate("z", False), EvacuationsValue(1, []), "same"),
     (evacuate("z", True), EvacuationsValue(1, ["z"]), "same"),
     (claim_duty("b", 1, None), DutyValue("a", 1, 9), "stale_match"),
@@ -258,5 +306,3 @@
     result = change(None if current is None else msgspec.msgpack.encode(current))
     got = result.err().name if result.is_err() else ("same" if result.ok() is None else "ok")
     assert got == expected
-
-
--- a/tests/test_schedules.py
+++ b/tests/test_schedules.py
@@ -1,4 +1,5 @@
 """Random schedules from fixed seeds: clients, backends, cuts and clocks in any order, and what must hold throughout."""
+
 import random
 
 import pytest
@@ -7,8 +8,23 @@
 
 from .stage import Stage
 
-TEXTS = ["FETCH a", "PUT a b", "PUT c d", "BEGIN", "BEGIN FETCH", "COMMIT", "ABORT", "SET v 1", "SET v 2", "PREP s FETCH q",
-         "PREP s PUT q", "EXEC s a b", "EXEC s a", "FREE s", "NONSENSE"]
+TEXTS = [
+    "FETCH a",
+    "PUT a b",
+    "PUT c d",
+    "BEGIN",
+    "BEGIN FETCH",
+    "COMMIT",
+    "ABORT",
+    "SET v 1",
+    "SET v 2",
+    "PREP s FETCH q",
+    "PREP s PUT q",
+    "EXEC s a b",
+    "EXEC s a",
+    "FREE s",
+    "NONSENSE",
+]
 CODES = ["BUSY", "RO", "LAGGING", "FAIL", "NOSUCH", "TIMEDOUT", "WRONGHOST"]
 
 
@@ -18,7 +34,11 @@
     def __init__(self, seed):
         self.random, self.stage = random.Random(seed), Stage()
         self.stage.warm()
-        self.answers, self.out, self.number = 0, {}, 0        # statement id: wires it went out on and was not refused by
+        self.answers, self.out, self.number = (
+            0,
+            {},
+            0,
+        )  # statement id: wires it went out on and was not refused by
 
     def collect(self):
         for key in [key for key in self.stage.sent if key >= 1000]:
@@ -43,7 +63,9 @@
         wire = self.random.choice(asked)
         tag, owner = wire.expected[0][0], wire.owner
         if tag == "login":
-            self.stage.answer(wire, "READY I 1.9" if self.random.random() < 0.9 else "ERR MAXCONN full")
+            self.stage.answer(
+                wire, "READY I 1.9" if self.random.random() < 0.9 else "ERR MAXCONN full"
+            )
         elif self.random.random() < 0.75:
             self.answers += 1
             letter = wire.expected[0][2] if self.random.random() < 0.9 else self.random.choice("IT")
@@ -53,7 +75,9 @@
             code = self.random.choice(CODES)
             if tag == "run" and code in NOT_RUN and getattr(owner, "statement", None):
                 self.out.pop(owner.statement.id, None)
-            self.stage.answer(wire, f"ERR {code} x", f"READY {self.random.choice('IE')} 1.{self.number}")
+            self.stage.answer(
+                wire, f"ERR {code} x", f"READY {self.random.choice('IE')} 1.{self.number}"
+            )
 
     def trouble(self):
         wires, sessions = list(self.stage.floor.wires.values()), list(self.stage.floor.sessions)
@@ -65,7 +89,10 @@
 
     def check(self):
         for backend in self.stage.floor.yard.backends.values():
-            assert all(not wire.expected and wire.owner is None and wire.state == "I" and not wire.lost for wire in backend.idle)
+            assert all(
+                not wire.expected and wire.owner is None and wire.state == "I" and not wire.lost
+                for wire in backend.idle
+            )
             assert backend.dialing == sum(not wire.open for wire in backend.wires.values())
         owned = [wire.owner for wire in self.stage.floor.wires.values() if wire.owner is not None]
         assert len(owned) == len(set(map(id, owned))), "two wires for one errand or transaction"
--- a/tests/test_spool.py
+++ b/tests/test_spool.py
@@ -1,11 +1,12 @@
 """The only copy: an intent is on two disks before its counter hears of it, and a registrar that leaves hands it over."""
+
 import msgspec
 import pytest
 
 from sumacloom.courier.messages import Held, Intent
 from sumacloom.registrar.spool import may_leave, take_intent, unhanded
 
-from .test_membership import A, B, C, NEW, Fleet
+from .test_membership import NEW, A, B, C, Fleet
 
 
 class Post(Fleet):
@@ -21,12 +22,23 @@
             self.held.append((message.number, self.now, self.holders(message.number)))
 
     def holders(self, number):
-        return [ip for ip, disk in self.disks.items() if any(
-            found[0] == "spooled" and found[3] == number for found in map(msgspec.msgpack.decode, disk.kept))]
+        return [
+            ip
+            for ip, disk in self.disks.items()
+            if any(
+                found[0] == "spooled" and found[3] == number
+                for found in map(msgspec.msgpack.decode, disk.kept)
+            )
+        ]
 
     def intend(self, ip):
         self.numbers += 1
-        take_intent(self.offices[ip], "edge-1", Intent(7, self.numbers, "books", "PUT a b", "edge-1"), self.now)
+        take_intent(
+            self.offices[ip],
+            "edge-1",
+            Intent(7, self.numbers, "books", "PUT a b", "edge-1"),
+            self.now,
+        )
         return self.numbers
 
     def spare_of(self, ip):
@@ -42,7 +54,7 @@
     land.run(3.0)
     land.intend(home)
     spare = land.spare_of(home)
-    land.offices[home].outbox.clear()                        # it is lost on its way, whoever it was for
+    land.offices[home].outbox.clear()  # it is lost on its way, whoever it was for
     if trouble == "stuck":
         land.stuck.add(spare)
     elif trouble == "dead":
@@ -51,7 +63,7 @@
         land.deaf = {(home, spare)}
     asked = land.now
     land.run(0.6)
-    (number, at, holders), = land.held
+    ((number, at, holders),) = land.held
     assert at - asked <= 0.6 and len(holders) >= 2, (trouble, holders)
     assert trouble == "none" or spare not in holders
 
@@ -62,7 +74,7 @@
     land.cut = {frozenset((A, ip)) for ip in (B, C)}
     number = land.intend(A)
     land.run(0.6)
-    assert not land.held                                     # they may yet be there: the write is refused unsent
+    assert not land.held  # they may yet be there: the write is refused unsent
     land.run(1.5)
     land.intend(A)
     land.run(0.3)
@@ -79,7 +91,7 @@
     while min(land.now - land.offices[A].heard_at(ip, land.now) for ip in (B, C)) < 0.8:
         land.step()
     number = land.intend(A)
-    assert land.spare_of(A)                                   # one was still asked
+    assert land.spare_of(A)  # one was still asked
     land.run(0.6)
     assert [(held, holders) for held, _at, holders in land.held] == [(number, [A])]
 
--- a/tests/test_statements.py
+++ b/tests/test_statements.py
@@ -1,4 +1,5 @@
 """The send rules: what goes to which backend, what may go twice, what a client is told."""
+
 import pytest
 
 from .stage import BLUEPRINT, Stage
@@ -9,7 +10,7 @@
     lead, *_others = stage.warm()
     stage.client(1, "books")
     stage.say(1, "QUERY 5c FETCH a")
-    assert stage.take(lead.key) == ["QUERY - BEGIN"]          # FETCH only after BEGIN has succeeded
+    assert stage.take(lead.key) == ["QUERY - BEGIN"]  # FETCH only after BEGIN has succeeded
     stage.answer(lead, "DONE -", "READY T 1.11")
     assert stage.take(lead.key) == ["QUERY 5c FETCH a", "QUERY - ABORT"]
     stage.answer(lead, "ROW x y", "DONE 7.1", "READY T 1.11")
@@ -35,8 +36,18 @@
     # (database, lines before, last line, answered BEGIN, expected reply)
     ("books", [], "QUERY 1 PUT a b", ["ERR UNKNOWN", "READY I -"]),
     ("books", ["QUERY 1 BEGIN", "QUERY 2 PUT a b"], "QUERY 3 COMMIT", ["ERR UNKNOWN", "READY I -"]),
-    ("books", ["QUERY 1 BEGIN", "QUERY 2 PUT a b"], "QUERY 3 PUT c d", ["ERR ROLLEDBACK", "READY E -"]),
-    ("books", ["QUERY 1 BEGIN", "QUERY 2 FETCH a"], "QUERY 3 FETCH b", ["ERR ROLLEDBACK", "READY E -"]),
+    (
+        "books",
+        ["QUERY 1 BEGIN", "QUERY 2 PUT a b"],
+        "QUERY 3 PUT c d",
+        ["ERR ROLLEDBACK", "READY E -"],
+    ),
+    (
+        "books",
+        ["QUERY 1 BEGIN", "QUERY 2 FETCH a"],
+        "QUERY 3 FETCH b",
+        ["ERR ROLLEDBACK", "READY E -"],
+    ),
 ]
 
 
@@ -86,9 +97,13 @@
     assert stage.take(1) == []
     for _tick in range(12):
         stage.tick()
-        for wire in [wire for wire in stage.floor.wires.values() if "QUERY - RESET" in stage.sent.get(wire.key, [])]:
+        for wire in [
+            wire
+            for wire in stage.floor.wires.values()
+            if "QUERY - RESET" in stage.sent.get(wire.key, [])
+        ]:
             stage.take(wire.key)
-            stage.answer(wire, "DONE -", "READY I 1.11")      # after NOSUCH the wire is not trusted
+            stage.answer(wire, "DONE -", "READY I 1.11")  # after NOSUCH the wire is not trusted
     again = [line for lines in stage.sent.values() for line in lines if line == "QUERY 1 PUT a b"]
     assert again == ["QUERY 1 PUT a b"]
 
@@ -132,11 +147,11 @@
     assert stage.take(near.key) == ["QUERY 5c WAITPOS 1.10 FETCH a"]
     stage.answer(near, "ROW x", "DONE 7.1", "READY I 1.10")
     assert stage.take(1) == ["ROW x", "DONE 7.1", "READY I 1.10"]
-    stage.now += 1.0                                           # young enough: no new question
+    stage.now += 1.0  # young enough: no new question
     stage.say(1, "QUERY 5d FETCH a")
     assert stage.take(near.key) == ["QUERY 5d WAITPOS 1.10 FETCH a"] and stage.take(lead.key) == []
     stage.answer(near, "DONE 7.2", "READY I 1.10")
-    stage.now += 1.0                                           # 2.0 s old: too old for 1.5 s
+    stage.now += 1.0  # 2.0 s old: too old for 1.5 s
     stage.say(1, "QUERY 5e FETCH a")
     stage.anchor(lead, "1.40")
     assert stage.take(near.key) == ["QUERY 5e WAITPOS 1.40 FETCH a"]
@@ -191,7 +206,7 @@
     stage.answer(lead, "DONE -", "READY I -", "DONE -", "READY I -")
     assert stage.take(lead.key) == ["QUERY 3 EXEC p1 a b c"]
     stage.answer(lead, "DONE 7.1", "READY I 1.12")
-    stage.say(2, "QUERY 4 EXEC mine2 a d")                     # other values: RESET first
+    stage.say(2, "QUERY 4 EXEC mine2 a d")  # other values: RESET first
     assert stage.take(lead.key) == ["QUERY - RESET", "QUERY - PREP p1 PUT q2c"]
     stage.answer(lead, "DONE -", "READY I -", "DONE -", "READY I -")
     assert stage.take(lead.key) == ["QUERY 4 EXEC p1 a d"]
@@ -206,7 +221,7 @@
     stage.take(lead.key)
     stage.answer(lead, "ERR FAIL no", "READY I -")
     sent = stage.take(lead.key)
-    assert sent == ["QUERY - RESET", "QUERY - SET tz cairo"]   # the wire is not trusted any more
+    assert sent == ["QUERY - RESET", "QUERY - SET tz cairo"]  # the wire is not trusted any more
 
 
 def test_a_session_that_leaves_midway_rolls_its_wire_back():
@@ -235,9 +250,24 @@
 
 
 BAD_LINES = [
-    "QUERY 1 FETCH", "QUERY 1 FETCH a b", "QUERY 1 PUT a", "QUERY 1 STAT", "QUERY 1 PAUSE 9", "QUERY 1 RESET",
-    "QUERY 1 WAITPOS 1.1 FETCH a", "QUERY - FETCH a", "QUERY", "HELO", "", "QUERY 1 FETCH a\nQUERY 2 PUT b c",
-    "QUERY 1 COMMIT", "QUERY 1 ABORT", "QUERY 1 SET a", "QUERY 1 PREP s DROP x", "QUERY 1 BEGIN PUT", "query 1 FETCH a",
+    "QUERY 1 FETCH",
+    "QUERY 1 FETCH a b",
+    "QUERY 1 PUT a",
+    "QUERY 1 STAT",
+    "QUERY 1 PAUSE 9",
+    "QUERY 1 RESET",
+    "QUERY 1 WAITPOS 1.1 FETCH a",
+    "QUERY - FETCH a",
+    "QUERY",
+    "HELO",
+    "",
+    "QUERY 1 FETCH a\nQUERY 2 PUT b c",
+    "QUERY 1 COMMIT",
+    "QUERY 1 ABORT",
+    "QUERY 1 SET a",
+    "QUERY 1 PREP s DROP x",
+    "QUERY 1 BEGIN PUT",
+    "query 1 FETCH a",
     "LOGIN books again",
 ]
 
@@ -253,8 +283,12 @@
     assert not any(stage.take(wire.key) for wire in wires)
 
 
-LOGINS = [("LOGIN nowhere me", "ERR NODB"), ("LOGIN books", "ERR MALFORMED"), ("GET / HTTP/1.1", "ERR MALFORMED"),
-          ("x" * ((1 << 20) + 9), "ERR TOOLONG")]
+LOGINS = [
+    ("LOGIN nowhere me", "ERR NODB"),
+    ("LOGIN books", "ERR MALFORMED"),
+    ("GET / HTTP/1.1", "ERR MALFORMED"),
+    ("x" * ((1 << 20) + 9), "ERR TOOLONG"),
+]
 
 
 @pytest.mark.parametrize("line, reply", LOGINS)
@@ -273,6 +307,7 @@
     stage.say(1, "QUERY 2 PUT a b")
     stage.answer(lead, "DONE -", "READY T 1.11")
     from sumacloom.common.blueprint import Blueprint
+
     stage.floor.take_blueprint(Blueprint(2), stage.now)
     stage.take(lead.key)
     stage.answer(lead, "DONE 7.1", "READY T 1.11")
@@ -290,7 +325,7 @@
     stage.client(1, "search")
     stage.floor.yard.take_evacuations(["a"], stage.now)
     stage.say(1, "QUERY 1 FETCH a")
-    stage.anchor(lead)                                         # the lead serves on until the hand-over
+    stage.anchor(lead)  # the lead serves on until the hand-over
     assert stage.take(far.key) and not stage.take(near.key)
     stage.now += 4.0
     stage.client(2, "books")
@@ -311,13 +346,14 @@
         sent += len(lines)
         if lines:
             stage.answer(lead, "DONE 7.1", "READY I 1.12")
-    assert sent == 1                                           # 4 a second over 4 members, one in hand
+    assert sent == 1  # 4 a second over 4 members, one in hand
 
 
 def test_leaving_in_order():
     stage = Stage()
     lead, *_others = stage.warm()
     from sumacloom.counter import upkeep
+
     stage.client(1, "books")
     stage.client(2, "books")
     stage.say(2, "QUERY 1 BEGIN")
@@ -328,10 +364,10 @@
     assert not stage.floor.ready
     stage.answer(lead, "DONE 7.1", "READY T 1.11")
     stage.tick(1.0)
-    assert stage.shut == []                                    # the platform still sends clients here
+    assert stage.shut == []  # the platform still sends clients here
     stage.client(3, "books")
     stage.tick(1.4)
-    assert set(stage.shut) == {1, 3}                           # idle ones go, the open transaction stays
+    assert set(stage.shut) == {1, 3}  # idle ones go, the open transaction stays
     stage.say(2, "QUERY 3 COMMIT")
     stage.answer(lead, "DONE 7.2", "READY I 1.12")
     assert 2 in stage.shut
@@ -354,7 +390,8 @@
 
 
 ENDS = [
-    (["QUERY 1 PUT a b"], "ERR UNKNOWN"), (["QUERY 1 FETCH a"], "ERR BUSY"),
+    (["QUERY 1 PUT a b"], "ERR UNKNOWN"),
+    (["QUERY 1 FETCH a"], "ERR BUSY"),
     (["QUERY 1 BEGIN", "QUERY 2 PUT a b"], "ERR ROLLEDBACK"),
 ]
 
@@ -362,6 +399,7 @@
 @pytest.mark.parametrize("lines, expected", ENDS)
 def test_at_the_last_moment_of_leaving_nothing_asked_stays_without_a_word(lines, expected):
     from sumacloom.counter import upkeep
+
     stage = Stage()
     stage.warm()
     stage.client(1, "books")
--- a/tests/test_undo.py
+++ b/tests/test_undo.py
@@ -1,16 +1,17 @@
 """Undoing a routing edit: its results, what is in flight, and a whole fleet under load."""
+
 import random
 from collections import Counter
 
 import msgspec
 import pytest
 
+from sumacloom.agreement.values import BlueprintValue, decode, encode, put_blueprint, undo_blueprint
 from sumacloom.common.blueprint import decode_blueprint, pack_blueprint, unpack_blueprint
 from sumacloom.courier.board import Board, body_digest
 from sumacloom.courier.messages import News
 from sumacloom.fleet import commands
 from sumacloom.registrar.undo import one_per_node
-from sumacloom.agreement.values import BlueprintValue, decode, encode, put_blueprint, undo_blueprint
 
 from .stage import BLUEPRINT, Stage
 from .test_fleet import Stub, reply
@@ -27,19 +28,47 @@
     return decode(BlueprintValue, value), name
 
 
-ONE, TWO, SIX = put_blueprint(1, b'{"ver":1,"x":[1.0]}', 0), put_blueprint(2, b'{"ver":2}', 1), put_blueprint(6, b'{"ver":6}', 2)
+ONE, TWO, SIX = (
+    put_blueprint(1, b'{"ver":1,"x":[1.0]}', 0),
+    put_blueprint(2, b'{"ver":2}', 1),
+    put_blueprint(6, b'{"ver":6}', 2),
+)
 CASES = [
     # (changes, ver in force, body, what it restores, the last result)
     ([ONE, undo_blueprint(1)], 1, b'{"ver":1,"x":[1.0]}', 0, "nothing_to_undo"),
     ([undo_blueprint(3)], None, b"", 0, "stale_match"),
     ([ONE, TWO, undo_blueprint(2)], 3, b'{"ver":3,"x":[1.0]}', 1, "ok"),
-    ([ONE, TWO, undo_blueprint(2), undo_blueprint(2)], 3, b'{"ver":3,"x":[1.0]}', 1, "same"),       # a repeat, or two at once
-    ([ONE, TWO, undo_blueprint(2), undo_blueprint(3)], 4, b'{"ver":4}', 2, "ok"),                   # the undo of an undo
-    ([ONE, TWO, undo_blueprint(1)], 2, b'{"ver":2}', 0, "stale_match"),                             # a wrong base
-    ([ONE, TWO, SIX, undo_blueprint(2)], 6, b'{"ver":6}', 0, "stale_match"),                        # the edit was faster
-    ([ONE, TWO, undo_blueprint(2), SIX], 3, b'{"ver":3,"x":[1.0]}', 1, "stale_match"),              # the undo was faster
+    (
+        [ONE, TWO, undo_blueprint(2), undo_blueprint(2)],
+        3,
+        b'{"ver":3,"x":[1.0]}',
+        1,
+        "same",
+    ),  # a repeat, or two at once
+    (
+        [ONE, TWO, undo_blueprint(2), undo_blueprint(3)],
+        4,
+        b'{"ver":4}',
+        2,
+        "ok",
+    ),  # the undo of an undo
+    ([ONE, TWO, undo_blueprint(1)], 2, b'{"ver":2}', 0, "stale_match"),  # a wrong base
+    ([ONE, TWO, SIX, undo_blueprint(2)], 6, b'{"ver":6}', 0, "stale_match"),  # the edit was faster
+    (
+        [ONE, TWO, undo_blueprint(2), SIX],
+        3,
+        b'{"ver":3,"x":[1.0]}',
+        1,
+        "stale_match",
+    ),  # the undo was faster
     ([ONE, TWO, undo_blueprint(2), put_blueprint(9, b'{"ver":9}', 3)], 9, b'{"ver":9}', 0, "ok"),
-    ([ONE, TWO, undo_blueprint(2), TWO], 3, b'{"ver":3,"x":[1.0]}', 1, "same"),                     # a late resend stays undone
+    (
+        [ONE, TWO, undo_blueprint(2), TWO],
+        3,
+        b'{"ver":3,"x":[1.0]}',
+        1,
+        "same",
+    ),  # a late resend stays undone
     ([ONE, TWO, SIX, undo_blueprint(6), undo_blueprint(6)], 7, b'{"ver":7}', 2, "same"),
 ]
 
@@ -58,27 +87,43 @@
         body = b'{"ver":%d,"n":"%s"}' % (ver, noise.randbytes(20_000).hex().encode())
         value = put_blueprint(ver, body, ver - 1)(value).ok()
     kept = decode(BlueprintValue, value).past
-    assert kept[0][0] == 28 and sum(len(packed) for _ver, packed in kept) <= (48 << 10) + len(kept[0][1])
+    assert kept[0][0] == 28 and sum(len(packed) for _ver, packed in kept) <= (48 << 10) + len(
+        kept[0][1]
+    )
 
 
 def test_many_routes_travel_packed_and_come_out_as_they_were():
-    raw = msgspec.json.encode({**BLUEPRINT, "routes": [
-        {"name": f"r{n}", "host": f"h{n * 7919 % 104729}", "svc": "svc", "tmoMs": 1000} for n in range(1500)]})
+    raw = msgspec.json.encode(
+        {
+            **BLUEPRINT,
+            "routes": [
+                {"name": f"r{n}", "host": f"h{n * 7919 % 104729}", "svc": "svc", "tmoMs": 1000}
+                for n in range(1500)
+            ],
+        }
+    )
     assert len(pack_blueprint(raw)) < len(raw) / 4 and unpack_blueprint(pack_blueprint(raw)) == raw
     with pytest.raises(ValueError):
         unpack_blueprint(pack_blueprint(raw)[:-9])
-    assert decode(BlueprintValue, encode(BlueprintValue(1, raw, []))).raw == raw     # of the first version
+    assert (
+        decode(BlueprintValue, encode(BlueprintValue(1, raw, []))).raw == raw
+    )  # of the first version
 
 
 # ---------------------------------------------------------------- what is in flight
-ELSEWHERE = {"routes": [{**BLUEPRINT["routes"][0], "svc": "other"}], "svcs": [{"name": "svc"}, {"name": "other"}]}
+ELSEWHERE = {
+    "routes": [{**BLUEPRINT["routes"][0], "svc": "other"}],
+    "svcs": [{"name": "svc"}, {"name": "other"}],
+}
 
 
 def misdirected():
     """A stage whose edit has sent `books` to a service without backends."""
     stage = Stage()
     lead, _q, _r = stage.warm()
-    stage.floor.take_blueprint(decode_blueprint(msgspec.json.encode({**BLUEPRINT, **ELSEWHERE, "ver": 2})), stage.now)
+    stage.floor.take_blueprint(
+        decode_blueprint(msgspec.json.encode({**BLUEPRINT, **ELSEWHERE, "ver": 2})), stage.now
+    )
     return stage, lead
 
 
@@ -87,7 +132,9 @@
     stage.client(1, "books")
     stage.say(1, "QUERY 5 PUT a b")
     assert stage.take(lead.key) == []
-    stage.floor.take_blueprint(decode_blueprint(msgspec.json.encode({**BLUEPRINT, "ver": 3})), stage.now)
+    stage.floor.take_blueprint(
+        decode_blueprint(msgspec.json.encode({**BLUEPRINT, "ver": 3})), stage.now
+    )
     stage.act()
     assert stage.take(lead.key) == ["QUERY 5 PUT a b"]
     stage.answer(lead, "DONE 7.1", "READY I 1.11")
@@ -108,7 +155,9 @@
         if place == "commit":
             stage.say(1, "QUERY 6 COMMIT")
             assert stage.take(lead.key) == ["QUERY 6 COMMIT"]
-    stage.floor.take_blueprint(decode_blueprint(msgspec.json.encode({**BLUEPRINT, **ELSEWHERE, "ver": 2})), stage.now)
+    stage.floor.take_blueprint(
+        decode_blueprint(msgspec.json.encode({**BLUEPRINT, **ELSEWHERE, "ver": 2})), stage.now
+    )
     stage.act()
     assert stage.take(lead.key) == []
     if place == "inside":
@@ -128,7 +177,7 @@
     stage.floor.take_lanes([], False, True, stage.now)
     stage.act()
     assert not stage.floor.ready and 2 in stage.shut
-    stage.say(1, "QUERY 6 COMMIT")                       # a transaction on its wire goes on
+    stage.say(1, "QUERY 6 COMMIT")  # a transaction on its wire goes on
     assert stage.take(lead.key) == ["QUERY 6 COMMIT"]
     stage.answer(lead, "DONE 7.1", "READY I 1.12")
     stage.take(1)
@@ -141,28 +190,38 @@
 def test_an_edit_that_misdirects_is_undone_everywhere_and_each_request_arrives_once(seed):
     """Under load, with a counter cut off, one killed and one starting while the undo is on its way."""
     town = Town(seed, desks=5)
-    assert town.decide("10.0.0.1", "blueprint", put_blueprint(4, blueprint(4, guarded=True), 0)).is_ok()
+    assert town.decide(
+        "10.0.0.1", "blueprint", put_blueprint(4, blueprint(4, guarded=True), 0)
+    ).is_ok()
     town.run(2.5)
     edit = put_blueprint(9, blueprint(9, "shelf-b", guarded=True), 4)
     assert town.decide("10.0.0.2", "blueprint", edit).is_ok()
     town.run(town.random.uniform(0.2, 1.0))
-    town.split(True)                                      # the south's counters hear nobody who has a majority
+    town.split(True)  # the south's counters hear nobody who has a majority
     town.run(town.random.uniform(0.1, 3.0))
     town.kill_desk(town.random.choice(town.desks))
     undone = town.decide("10.0.0.1", "blueprint", undo_blueprint(9))
-    assert undone.is_ok() and town.decide("10.0.0.2", "blueprint", undo_blueprint(9)).ok()[1] == undone.ok()[1]
+    assert (
+        undone.is_ok()
+        and town.decide("10.0.0.2", "blueprint", undo_blueprint(9)).ok()[1] == undone.ok()[1]
+    )
     town.start_desk("south"), town.start_desk("north")
     town.run(3.0)
     wrong = len(town.stores["q"].log)
-    for desk in town.desks:                               # nobody takes work by the edit any more
-        assert desk.floor.blueprint is None or desk.floor.blueprint.ver == 10 or not desk.floor.ready
+    for desk in town.desks:  # nobody takes work by the edit any more
+        assert (
+            desk.floor.blueprint is None or desk.floor.blueprint.ver == 10 or not desk.floor.ready
+        )
     town.run(1.0)
     assert len(town.stores["q"].log) == wrong and wrong
     town.split(False)
     town.run(3.0)
     town.end()
     held = {(desk.floor.blueprint.ver, body_digest(desk.board.packed)) for desk in town.desks}
-    held |= {(one.board.blueprint.ver, body_digest(one.board.packed)) for one in town.land.offices.values()}
+    held |= {
+        (one.board.blueprint.ver, body_digest(one.board.packed))
+        for one in town.land.offices.values()
+    }
     assert len(held) == 1 and next(iter(held))[0] == 10
     counts = Counter(town.written())
     acked = [token for client in town.clients for token in client.acked]
@@ -172,15 +231,26 @@
     assert set(counts) <= set(acked) | doubtful
 
 
-ROWS = [{"node": "core-1", "generation": 8, "body": "aa"}, {"node": "edge-1", "generation": 8, "body": "aa"}]
+ROWS = [
+    {"node": "core-1", "generation": 8, "body": "aa"},
+    {"node": "edge-1", "generation": 8, "body": "aa"},
+]
 UNDONE = reply(200, {"undone": 7, "restores": 3, "generation": 8})
 WATCHED = [
     (ROWS, [], 0),
     ([*ROWS, {"node": "edge-2", "generation": 7, "body": "bb", "why": ""}], [], 6),
     ([*ROWS, {"node": "edge-2", "generation": 0, "body": "", "why": "gone for 3 s"}], [], 6),
-    ([*ROWS, {"node": "edge-2", "generation": 0, "body": "", "why": "gone for 3 s"}], ["edge-2"], 0),
-    ([*ROWS, {"node": "edge-2", "generation": 8, "body": "cc"}], [], 6),              # the number alone is not enough
-    ([{**row, "generation": 12} for row in ROWS], [], 0),                             # a later edit is in force
+    (
+        [*ROWS, {"node": "edge-2", "generation": 0, "body": "", "why": "gone for 3 s"}],
+        ["edge-2"],
+        0,
+    ),
+    (
+        [*ROWS, {"node": "edge-2", "generation": 8, "body": "cc"}],
+        [],
+        6,
+    ),  # the number alone is not enough
+    ([{**row, "generation": 12} for row in ROWS], [], 0),  # a later edit is in force
     ([], [], 6),
 ]
 
@@ -194,15 +264,41 @@
 
 
 def test_a_node_is_listed_once_by_the_best_that_is_known_of_it():
-    rows = [{"node": "edge-1", "generation": 0, "why": "gone for 9 s"}, {"node": "edge-1", "generation": 8, "why": ""}]
-    assert one_per_node(rows, ["10.0.0.9"]) == [rows[1], {
-        "node": "10.0.0.9", "role": "registrar", "generation": 0, "body": "", "restores": 0, "why": "unheard"}]
+    rows = [
+        {"node": "edge-1", "generation": 0, "why": "gone for 9 s"},
+        {"node": "edge-1", "generation": 8, "why": ""},
+    ]
+    assert one_per_node(rows, ["10.0.0.9"]) == [
+        rows[1],
+        {
+            "node": "10.0.0.9",
+            "role": "registrar",
+            "generation": 0,
+            "body": "",
+            "restores": 0,
+            "why": "unheard",
+        },
+    ]
 
 
 def test_one_changed_route_among_many_travels_as_a_difference_and_a_foreign_base_gets_the_whole():
     def body(ver, tmo):
-        return msgspec.json.encode({"ver": ver, "svcs": [{"name": "svc"}], "routes": [
-            {"name": f"r{n}", "host": f"h{n}", "svc": "svc", "tmoMs": tmo if n == 700 else 1000} for n in range(1500)]})
+        return msgspec.json.encode(
+            {
+                "ver": ver,
+                "svcs": [{"name": "svc"}],
+                "routes": [
+                    {
+                        "name": f"r{n}",
+                        "host": f"h{n}",
+                        "svc": "svc",
+                        "tmoMs": tmo if n == 700 else 1000,
+                    }
+                    for n in range(1500)
+                ],
+            }
+        )
+
     root, child = Board(), Board()
     for ver in (3, 7, 9):
         root.take(News(pack_blueprint(body(ver, ver)), 0, None, None))
@@ -211,5 +307,7 @@
         assert (len(news.blueprint) < 300) == (ver > 3)
     late = Board()
     late.take(News(pack_blueprint(body(2, 2)), 0, None, None))
-    assert not late.take(news) and late.blueprint.ver == 2          # a difference of a body it does not hold
+    assert (
+        not late.take(news) and late.blueprint.ver == 2
+    )  # a difference of a body it does not hold
     assert late.take(root.news_for(late.digest())) and late.packed == root.packed
--- a/tests/test_voters.py
+++ b/tests/test_voters.py
@@ -1,15 +1,16 @@
 """Who votes: newcomers, swaps, lost disks and deaths at every step of a change, by seeded schedules."""
+
 import random
 
 import pytest
 
+from sumacloom.agreement import membership, storage
+from sumacloom.agreement.acceptor import Acceptor
+from sumacloom.agreement.values import BlueprintValue, decode, put_blueprint
 from sumacloom.common.settings import Settings
 from sumacloom.common.types import NO_BALLOT, Ballot
 from sumacloom.courier.messages import Configuration, Prepare, Unframer, frame
-from sumacloom.agreement import membership, storage
 from sumacloom.registrar.office import Office
-from sumacloom.agreement.acceptor import Acceptor
-from sumacloom.agreement.values import BlueprintValue, decode, put_blueprint
 
 
 class Disk:
@@ -34,13 +35,25 @@
         self.now, self.loss, self.nodes, self.stuck = 0.0, loss, nodes, set()
         self.seeds = [f"10.0.0.{number}" for number in range(1, seeds + 1)]
         self.offices, self.disks, self.post = {}, {}, []
-        self.cut, self.deaf, self.decided, self.acked = set(), set(), {}, []     # deaf: (from, to), one way only
+        self.cut, self.deaf, self.decided, self.acked = (
+            set(),
+            set(),
+            {},
+            [],
+        )  # deaf: (from, to), one way only
         for number in range(1, seeds + others + 1):
             self.start(f"10.0.0.{number}", bootstrap=True)
 
     def start(self, ip, bootstrap=False):
-        settings = Settings(f"core-{ip}", "registrar", ip, "a", seeds=[f"{seed}:80" for seed in self.seeds],
-                            bootstrap=bootstrap, voting=True)
+        settings = Settings(
+            f"core-{ip}",
+            "registrar",
+            ip,
+            "a",
+            seeds=[f"{seed}:80" for seed in self.seeds],
+            bootstrap=bootstrap,
+            voting=True,
+        )
         settings.cloud.jobs = ["failover"]
         settings.tolerate.nodes = self.nodes
         disk = self.disks.setdefault(ip, Disk())
@@ -50,7 +63,7 @@
         original = one.settle
 
         def settle(key, ballot, value, now):
-            if key == "blueprint":               # two decided values on one generation never
+            if key == "blueprint":  # two decided values on one generation never
                 found = decode(BlueprintValue, value)
                 assert self.decided.setdefault(found.ver, found.raw) == found.raw
             if key not in ("blueprint", membership.KEY):
@@ -59,6 +72,7 @@
                 found = decode(Configuration, value)
                 assert self.decided.setdefault(("configuration", found.generation), found) == found
             return original(key, ballot, value, now)
+
         one.settle = settle
 
     def kill(self, ip, disk=True):
@@ -71,14 +85,16 @@
         for ip, one in list(self.offices.items()):
             one.tick(self.now)
             if one.storage.batches and ip not in self.stuck and self.random.random() < 0.6:
-                batches = one.storage.take()[:self.random.randrange(1, 4)]
+                batches = one.storage.take()[: self.random.randrange(1, 4)]
                 one.storage.sync(batches)
                 one.written(batches, self.now)
             post, one.outbox = one.outbox, []
             for peer, message in post:
                 for _copy in range(2 if self.random.random() < 0.03 else 1):
                     if self.random.random() >= self.loss:
-                        self.post.append((self.now + self.random.expovariate(50), ip, peer, message))
+                        self.post.append(
+                            (self.now + self.random.expovariate(50), ip, peer, message)
+                        )
         due = [entry for entry in self.post if entry[0] <= self.now]
         self.post = [entry for entry in self.post if entry[0] > self.now]
         for _at, ip, peer, message in sorted(due, key=lambda entry: entry[0]):
@@ -95,7 +111,9 @@
             self.step()
 
     def put(self, ip, ver, base):
-        return self.offices[ip].propose("blueprint", put_blueprint(ver, b'{"ver": %d}' % ver, base), self.now)
+        return self.offices[ip].propose(
+            "blueprint", put_blueprint(ver, b'{"ver": %d}' % ver, base), self.now
+        )
 
     def configurations(self):
         return {ip: one.acceptor.configuration for ip, one in self.offices.items()}
@@ -106,7 +124,10 @@
     land.run(5.0)
     everyone = tuple(f"10.0.0.{number}" for number in range(1, 6))
     assert {configuration.new for configuration in land.configurations().values()} == {everyone}
-    assert all(not configuration.old and one.votes for configuration, one in zip(land.configurations().values(), land.offices.values()))
+    assert all(
+        not configuration.old and one.votes
+        for configuration, one in zip(land.configurations().values(), land.offices.values())
+    )
 
 
 @pytest.mark.parametrize("planned", [False, True])
@@ -129,7 +150,7 @@
     left = tuple(sorted({"10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.9"} - {gone}))
     assert {configuration.new for configuration in land.configurations().values()} == {left}
     other = next(ip for ip in left if ip not in ("10.0.0.9", "10.0.0.2"))
-    land.kill(other)                                          # the newcomer's vote now carries
+    land.kill(other)  # the newcomer's vote now carries
     land.run(1.0)
     proposal = land.put("10.0.0.2", 6, 4)
     land.run(1.5)
@@ -162,13 +183,17 @@
         living = list(land.offices)
         strike = luck.choice(["swap", "disk", "power", "cut", "none"])
         victim = luck.choice(living)
-        whole = all(one.votes and not one.acceptor.configuration.old and one.acceptor.configuration.new == tuple(sorted(living))
-                    for one in land.offices.values())
-        ill = land.cut or not whole                 # one loss at a time is what must be borne
+        whole = all(
+            one.votes
+            and not one.acceptor.configuration.old
+            and one.acceptor.configuration.new == tuple(sorted(living))
+            for one in land.offices.values()
+        )
+        ill = land.cut or not whole  # one loss at a time is what must be borne
         if strike == "swap" and not ill:
             land.kill(victim, disk=False)
             land.run(luck.uniform(0.0, 3.0))
-            land.seeds = sorted(land.offices)                 # the operator's list as it stands now
+            land.seeds = sorted(land.offices)  # the operator's list as it stands now
             land.start(f"10.0.0.{next_ip}")
             next_ip += 1
             land.run(4.0)
@@ -177,18 +202,33 @@
             land.run(luck.uniform(0.0, 1.0))
             land.start(victim)
         elif strike == "cut":
-            land.cut = set() if land.cut else {frozenset((victim, other)) for other in living if other != victim}
-        bases = [decode(BlueprintValue, one.decided["blueprint"][1]).ver if "blueprint" in one.decided else 0
-                 for one in land.offices.values()]
+            land.cut = (
+                set()
+                if land.cut
+                else {frozenset((victim, other)) for other in living if other != victim}
+            )
+        bases = [
+            decode(BlueprintValue, one.decided["blueprint"][1]).ver
+            if "blueprint" in one.decided
+            else 0
+            for one in land.offices.values()
+        ]
         for at in luck.sample(list(land.offices), 2):
             ver += 1
             waiting.append((ver, land.put(at, ver, max(bases, default=0))))
     land.cut, land.loss = set(), 0.0
     land.run(12.0)
-    won = [ver for ver, proposal in waiting if proposal.outcome is not None and proposal.outcome.is_ok()]
+    won = [
+        ver
+        for ver, proposal in waiting
+        if proposal.outcome is not None and proposal.outcome.is_ok()
+    ]
     assert won
     for one in land.offices.values():
-        history = {ver for ver, _digest in decode(BlueprintValue, one.decided["blueprint"][1]).taken.entries}
+        history = {
+            ver
+            for ver, _digest in decode(BlueprintValue, one.decided["blueprint"][1]).taken.entries
+        }
         assert set(won) <= history
         assert not one.acceptor.configuration.old and one.votes
 
@@ -224,7 +264,11 @@
     one.tell_all = lambda message: None
     one.deliver = lambda peer, message: deliver(peer, message) if peer == one.me else None
     land.run(2.5)
-    assert one.alive("10.0.0.1", land.now) and not one.heard_majority(land.now) and not one.settled(land.now)
+    assert (
+        one.alive("10.0.0.1", land.now)
+        and not one.heard_majority(land.now)
+        and not one.settled(land.now)
+    )
     assert land.offices["10.0.0.1"].settled(land.now)
 
 
@@ -237,14 +281,15 @@
     assert proposal.outcome.err().name == "no_majority"
     land.stuck.clear()
     land.run(1.5)
-    again = land.put("10.0.0.2", 4, 0)                        # what may have been taken meanwhile is well again
+    again = land.put("10.0.0.2", 4, 0)  # what may have been taken meanwhile is well again
     land.run(1.0)
     assert again.outcome.is_ok()
 
 
 def test_what_was_decided_before_a_change_of_voters_is_held_by_the_new_ones():
     """The newcomer has learned, then a value is decided without it, then it votes and one of the two holders goes.
-    Mending by news is switched off, so that only the rounds of the change itself can carry the value over."""
+    Mending by news is switched off, so that only the rounds of the change itself can carry the value over.
+    """
     land = Land(8, loss=0.0)
     for one in land.offices.values():
         one.acceptor.mend = lambda *_value: []
@@ -255,16 +300,22 @@
     late.acceptor.mend = lambda *_value: []
     while not late.acceptor.learned:
         land.step()
-    land.cut = {frozenset((ip, other)) for ip in ("10.0.0.1", "10.0.0.2") for other in ("10.0.0.3", "10.0.0.9")}
+    land.cut = {
+        frozenset((ip, other))
+        for ip in ("10.0.0.1", "10.0.0.2")
+        for other in ("10.0.0.3", "10.0.0.9")
+    }
     proposal = land.put("10.0.0.1", 4, 0)
     while proposal.outcome is None:
         land.step()
     assert proposal.outcome.is_ok() and late.acceptor.slot("blueprint").value is None
-    land.run(0.3)                                             # the other holder knows it to be decided
+    land.run(0.3)  # the other holder knows it to be decided
     land.cut = set()
     land.kill("10.0.0.1", disk=False)
     land.run(6.0)
-    assert {configuration.new for configuration in land.configurations().values()} == {("10.0.0.2", "10.0.0.3", "10.0.0.9")}
+    assert {configuration.new for configuration in land.configurations().values()} == {
+        ("10.0.0.2", "10.0.0.3", "10.0.0.9")
+    }
     for ip in ("10.0.0.3", "10.0.0.9"):
         assert decode(BlueprintValue, land.offices[ip].acceptor.slot("blueprint").value).ver == 4
 
@@ -275,9 +326,12 @@
     ([b"\xc1nonsense"], "ledger_foreign"),
     ([b"\x01"], "ledger_foreign"),
     ([b"\x92\xa5other\x01"], "ledger_foreign"),
-    (storage.whole(Acceptor(Configuration(4, (), ("a",)), 7))[:-1], "learning"),          # no meta record: not a whole memory
+    (
+        storage.whole(Acceptor(Configuration(4, (), ("a",)), 7))[:-1],
+        "learning",
+    ),  # no meta record: not a whole memory
     (storage.whole(Acceptor(Configuration(4, (), ("a",)), 7)), "whole"),
-    ([b"\x93\xa4meta\x91\xa1a\x07"], "whole"),                                 # of the first version
+    ([b"\x93\xa4meta\x91\xa1a\x07"], "whole"),  # of the first version
 ]
 
 
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -1,12 +1,14 @@
 """Waiting: how long statements are held, what goes first, and who gets wires."""
+
 import pytest
 
 from .stage import BLUEPRINT, Stage
 
-
 HOLDS = [
     # (seconds without a lead before the statement, word of a coming lead, held at least, at most; aim 400 ms, time-out 1 s)
-    (0.0, False, 0.10, 0.25), (3.0, False, 0.0, 0.15), (0.0, True, 0.60, 0.95),
+    (0.0, False, 0.10, 0.25),
+    (3.0, False, 0.0, 0.15),
+    (0.0, True, 0.60, 0.95),
 ]
 
 
@@ -27,7 +29,9 @@
 
 
 def test_the_priority_lane_goes_first_and_keeps_the_last_wire():
-    stage = Stage(svcs=[{"name": "svc", "maxconn": 23}])       # a fair share of two wires for eight members
+    stage = Stage(
+        svcs=[{"name": "svc", "maxconn": 23}]
+    )  # a fair share of two wires for eight members
     lead, *_others = stage.warm()
     stage.floor.yard.backends["p"].crowded_until = stage.now + 9
     stage.floor.take_lanes(["copies"], True, True, stage.now)
@@ -40,7 +44,7 @@
     second = stage.wires("p")[1]
     stage.take(second.key)
     stage.answer(second, "READY I 1.10")
-    assert stage.take(second.key) == []                        # the last wire is kept
+    assert stage.take(second.key) == []  # the last wire is kept
     stage.say(3, "QUERY 3 PUT a b")
     assert stage.take(second.key) == ["QUERY 3 PUT a b"]
 
@@ -53,7 +57,7 @@
     stage.say(2, "QUERY 1 PUT a b")
     stage.floor.take_lanes(["books"], False, False, stage.now)
     stage.act()
-    assert stage.floor.ready and not stage.shut                # lanes never used: nothing changes
+    assert stage.floor.ready and not stage.shut  # lanes never used: nothing changes
     stage.floor.take_lanes(["books"], False, True, stage.now)
     stage.act()
     assert not stage.floor.ready and stage.shut == [1]
@@ -79,14 +83,15 @@
     stage.answer(lead, "DONE -", "READY I 1.12")
     stage.client(2, "books")
     stage.say(2, "QUERY 6 SET tz alex")
-    stage.say(2, "QUERY 7 PUT a b")                            # a rollback may have undone the SET: not trusted
+    stage.say(2, "QUERY 7 PUT a b")  # a rollback may have undone the SET: not trusted
     assert stage.take(lead.key) == ["QUERY - RESET", "QUERY - SET tz alex"]
 
 
 @pytest.mark.parametrize("alone", [False, True])
 def test_a_counter_that_hears_nobody_and_has_no_lead_lets_its_clients_go_elsewhere_at_once(alone):
     """Found on emra-tiles-control scale-2: cut off together with the old primary, three counters held what they
-    could not serve, for a lead that was on the other side."""
+    could not serve, for a lead that was on the other side.
+    """
     stage = Stage()
     lead, _q, _r = stage.warm()
     stage.floor.alone = alone
@@ -114,7 +119,7 @@
                 stage.answer(lead, "ERR BUSY x", "READY I 1.10")
             stage.tick()
         assert stage.take(key)[0].startswith("ERR BUSY")
-    assert 20 <= sent <= 8 + 20 + 50                      # one each, the budget, and what ten seconds add to it
+    assert 20 <= sent <= 8 + 20 + 50  # one each, the budget, and what ten seconds add to it
 
 
 @pytest.mark.parametrize("code", ["BUSY", "FAIL"])
@@ -132,11 +137,12 @@
 
 def test_a_fleet_that_starts_at_once_does_not_give_all_connections_to_whoever_comes_first():
     """Found on a large day after all power was lost: 195 counters thought they were 8; 4,171 connections were reset,
-    and who had none stayed without, since idle wires above the fair share were kept."""
+    and who had none stayed without, since idle wires above the fair share were kept.
+    """
     stage = Stage(svcs=[{"name": "svc", "maxconn": 800}])
     yard, lead = stage.floor.yard, stage.floor.yard.backends["p"]
     yard.settled = False
-    assert yard.cap(lead, stage.now) == 4                     # 8 members would make it 32
+    assert yard.cap(lead, stage.now) == 4  # 8 members would make it 32
     yard.settled = True
     assert yard.cap(lead, stage.now) == 32
     stage.warm()
@@ -145,7 +151,7 @@
         stage.floor.wires[wire.key] = wire
         wire.login("edge-1")
         stage.answer(wire, "READY I 1.10")
-    yard.count_members(200, stage.now)                        # now they are counted: 2 each, 4 while nobody minds
+    yard.count_members(200, stage.now)  # now they are counted: 2 each, 4 while nobody minds
     stage.tick(0.5)
     assert len(lead.wires) == 10
     for _tick in range(4):
--- a/tests/test_wire_format.py
+++ b/tests/test_wire_format.py
@@ -2,6 +2,7 @@
 
 Tags and the order of fields are pinned; names of classes and fields are not.
 """
+
 import json
 import pathlib
 
@@ -23,4 +24,6 @@
 
 
 def test_every_kind_of_message_is_pinned():
-    assert sorted(kind.__struct_config__.tag for kind in KINDS) == sorted(row["tag"] for row in ROWS)
+    assert sorted(kind.__struct_config__.tag for kind in KINDS) == sorted(
+        row["tag"] for row in ROWS
+    )
--- a/tests/town.py
+++ b/tests/town.py
@@ -1,4 +1,5 @@
 """A whole fleet without sockets: registrars, counters, backends and clients, time and luck from one seed."""
+
 import random
 from collections import deque
 
@@ -20,10 +21,24 @@
 
 
 def blueprint(ver, service="shelf-a", databases=("books",), **limits):
-    return msgspec.json.encode({
-        "ver": ver, "svcs": [{"name": "shelf-a"}, {"name": "shelf-b"}], "limits": {"txIdleMs": 3000, **limits},
-        "routes": [{"name": f"r-{database}", "host": database, "svc": service, "kind": "primary", "tmoMs": 1000,
-                    "goalMs": 1000} for database in databases]})
+    return msgspec.json.encode(
+        {
+            "ver": ver,
+            "svcs": [{"name": "shelf-a"}, {"name": "shelf-b"}],
+            "limits": {"txIdleMs": 3000, **limits},
+            "routes": [
+                {
+                    "name": f"r-{database}",
+                    "host": database,
+                    "svc": service,
+                    "kind": "primary",
+                    "tmoMs": 1000,
+                    "goalMs": 1000,
+                }
+                for database in databases
+            ],
+        }
+    )
 
 
 class Store:
@@ -31,7 +46,7 @@
 
     def __init__(self, name, service):
         self.name, self.service, self.log, self.runs = name, service, [], 0
-        self.open = {}                                       # wire: writes of its transaction, None outside
+        self.open = {}  # wire: writes of its transaction, None outside
 
     def hear(self, wire, line):
         """The lines that answer one line."""
@@ -52,7 +67,10 @@
             self.open[wire] = None
         state = "T" if self.open.get(wire) is not None else "I"
         self.runs += 1
-        return ["DONE -" if statement_id == "-" else f"DONE 7.{self.runs}", f"READY {state} 1.{len(self.log)}"]
+        return [
+            "DONE -" if statement_id == "-" else f"DONE 7.{self.runs}",
+            f"READY {state} 1.{len(self.log)}",
+        ]
 
 
 class Desk:
@@ -61,7 +79,10 @@
     def __init__(self, town, number, region):
         self.town, self.node, self.region = town, f"edge-{number}", region
         self.life = town.random.getrandbits(40)
-        self.floor = Floor(Settings(self.node, "counter", f"10.0.1.{number}", "a", "north", zones={"a": "north"}), self.life)
+        self.floor = Floor(
+            Settings(self.node, "counter", f"10.0.1.{number}", "a", "north", zones={"a": "north"}),
+            self.life,
+        )
         self.floor.yard.next_key = 1 << 20
         self.floor.yard.members = 4
         self.board, self.sure_at = Board(), -1e9
@@ -71,8 +92,16 @@
     def office(self):
         """The registrar this counter can hear, if any."""
         land = self.town.land
-        return next((land.offices[ip] for ip in sorted(land.offices, key=lambda ip: self.town.region_of(ip) != self.region)
-                     if not self.town.parted(self.region, self.town.region_of(ip))), None)
+        return next(
+            (
+                land.offices[ip]
+                for ip in sorted(
+                    land.offices, key=lambda ip: self.town.region_of(ip) != self.region
+                )
+                if not self.town.parted(self.region, self.town.region_of(ip))
+            ),
+            None,
+        )
 
     def take_news(self, now):
         one = self.office()
@@ -89,8 +118,11 @@
             self.stamps, self.said = Stamps(), None
         self.session = one.me
         hear_minds(one, self.floor.pooling.minds(now))
-        said, self.said = self.said, (one.board.access.order, self.stamps.confirmed(one.readings.read_at))
-        if said:                                             # the beat before this one has arrived by now
+        said, self.said = (
+            self.said,
+            (one.board.access.order, self.stamps.confirmed(one.readings.read_at)),
+        )
+        if said:  # the beat before this one has arrived by now
             self.lease.hear(said[0], self.board.access.order, said[1], now)
         self.stamps.hear(None if self.lease.until is None else now, now)
         if news and self.board.take(news):
@@ -116,8 +148,14 @@
                 self.replies.setdefault(rest[0], []).extend(rest[1].decode().split("\r\n")[:-1])
             elif kind == "shut":
                 town.shut(self, rest[0])
-            elif kind == "spool" and self.session and not town.parted(self.region, town.region_of(self.session)):
-                town.letters.append((now + town.random.uniform(0.001, 0.03), self, self.session, rest[0]))
+            elif (
+                kind == "spool"
+                and self.session
+                and not town.parted(self.region, town.region_of(self.session))
+            ):
+                town.letters.append(
+                    (now + town.random.uniform(0.001, 0.03), self, self.session, rest[0])
+                )
 
 
 class Client:
@@ -137,7 +175,7 @@
 
     def tick(self, now):
         if self.desk is None or self.desk not in self.town.desks:
-            if self.lines:                                    # the counter died with something asked
+            if self.lines:  # the counter died with something asked
                 self.end("UNKNOWN" if self.commits() else "ROLLEDBACK", now)
             ready = [desk for desk in self.town.desks if desk.floor.ready]
             if not ready:
@@ -147,7 +185,9 @@
             self.say(now, f"LOGIN {self.database} me")
             return
         replies = self.desk.replies.pop(self.key, [])
-        if self.key not in self.desk.floor.sessions and not any(line.startswith("ERR") for line in replies):
+        if self.key not in self.desk.floor.sessions and not any(
+            line.startswith("ERR") for line in replies
+        ):
             if self.lines:
                 self.end("UNKNOWN" if self.commits() else "ROLLEDBACK", now)
             self.desk = None
@@ -168,7 +208,11 @@
             if not self.token:
                 self.fresh()
             put = f"QUERY {self.town.next_id()} PUT thing {self.token}"
-            whole = [f"QUERY {self.town.next_id()} BEGIN", put, f"QUERY {self.town.next_id()} COMMIT"]
+            whole = [
+                f"QUERY {self.town.next_id()} BEGIN",
+                put,
+                f"QUERY {self.town.next_id()} COMMIT",
+            ]
             self.lines = [put] if self.number % 2 else whole
             self.say(now, self.lines[0])
 
@@ -198,11 +242,16 @@
         self.loss, self.cut, self.over, self.ids, self.made = loss, False, False, 0, 0
         self.post, self.letters = deque(), []
         self.land.mail = self.mail
-        self.stores = {name: Store(name, service) for name, service in (("p", "shelf-a"), ("q", "shelf-b"))}
+        self.stores = {
+            name: Store(name, service) for name, service in (("p", "shelf-a"), ("q", "shelf-b"))
+        }
         self.desks = []
         for _desk in range(desks):
             self.start_desk()
-        self.clients = [Client(self, number, databases[number % len(databases)]) for number in range(1, clients + 1)]
+        self.clients = [
+            Client(self, number, databases[number % len(databases)])
+            for number in range(1, clients + 1)
+        ]
 
     def region_of(self, ip):
         return "south" if ip == "10.0.0.3" else "north"
@@ -212,7 +261,9 @@
 
     def split(self, cut):
         self.cut = cut
-        self.land.cut = {frozenset(("10.0.0.3", ip)) for ip in ("10.0.0.1", "10.0.0.2")} if cut else set()
+        self.land.cut = (
+            {frozenset(("10.0.0.3", ip)) for ip in ("10.0.0.1", "10.0.0.2")} if cut else set()
+        )
 
     def start_desk(self, region=""):
         self.made += 1
@@ -239,7 +290,11 @@
     def mail(self, ip, node, message):
         """A registrar's message for a counter."""
         desk = next((desk for desk in self.desks if desk.node == node), None)
-        if desk is None or self.parted(desk.region, self.region_of(ip)) or self.random.random() < self.loss:
+        if (
+            desk is None
+            or self.parted(desk.region, self.region_of(ip))
+            or self.random.random() < self.loss
+        ):
             return
         if isinstance(message, Held):
             spooling.intent_held(desk.floor, message, self.land.now)
@@ -251,7 +306,11 @@
         due = [letter for letter in self.letters if letter[0] <= now]
         self.letters = [letter for letter in self.letters if letter[0] > now]
         for _at, desk, ip, message in due:
-            if ip in self.land.offices and not self.parted(desk.region, self.region_of(ip)) and self.random.random() >= self.loss:
+            if (
+                ip in self.land.offices
+                and not self.parted(desk.region, self.region_of(ip))
+                and self.random.random() >= self.loss
+            ):
                 take = take_intent if isinstance(message, Intent) else take_verdict
                 take(self.land.offices[ip], desk.node, message, now)
 
@@ -261,8 +320,13 @@
         now = land.now
         for one in land.offices.values():
             if not one.board.records:
-                one.board.records.update((name, Record(name, store.service, f"10.0.2.{place}:80", "a", 9, role="primary"))
-                                         for place, (name, store) in enumerate(self.stores.items(), 1))
+                one.board.records.update(
+                    (
+                        name,
+                        Record(name, store.service, f"10.0.2.{place}:80", "a", 9, role="primary"),
+                    )
+                    for place, (name, store) in enumerate(self.stores.items(), 1)
+                )
                 one.board.forget(())
         due = [entry for entry in self.post if entry[5] <= now]
         self.post = deque(entry for entry in self.post if entry[5] > now)
@@ -278,16 +342,22 @@
                 if kind == "lost":
                     losses.wire_lost(desk.floor, desk.floor.wires[key], "cut", now)
                 else:
-                    outcomes.wire_data(desk.floor, key, "".join(line + "\r\n" for line in payload).encode(), now)
+                    outcomes.wire_data(
+                        desk.floor, key, "".join(line + "\r\n" for line in payload).encode(), now
+                    )
         for desk in list(self.desks):
             if self.random.random() < 0.3:
                 desk.take_news(now)
             lapsed = not desk.lease.held(now)
             gate.take_access(desk.floor, desk.board.access, lapsed, now)
-            desk.floor.take_lanes(desk.board.lanes.databases, desk.sure and not lapsed, self.used(desk) or lapsed, now)
+            desk.floor.take_lanes(
+                desk.board.lanes.databases, desk.sure and not lapsed, self.used(desk) or lapsed, now
+            )
             rows = desk.board.listeners
-            desk.floor.spooling.listen([database for _name, database, _state in rows.rows],
-                                       bool(rows.generation) and not desk.sure)
+            desk.floor.spooling.listen(
+                [database for _name, database, _state in rows.rows],
+                bool(rows.generation) and not desk.sure,
+            )
             upkeep.tick(desk.floor, now)
             desk.act(now)
         self.carry_letters(now)
--- a/tests/trial.py
+++ b/tests/trial.py
@@ -1,4 +1,5 @@
 """A short day with the real programs and the stand-ins, as a person would try them."""
+
 import json
 import os
 import subprocess
@@ -13,8 +14,7 @@
 
 from .standins import BLUEPRINT, CTL, FE, ROOT, ZONES, Service, start
 
-
-SENT: Counter = Counter()     # statements by what became of them
+SENT: Counter = Counter()  # statements by what became of them
 
 
 async def talk(number: int, database: str, *texts: str) -> list[str]:
@@ -34,7 +34,9 @@
                             return lines + got + ["(closed)"]
                         got += splitter.feed(data)
                     lines += got
-                    answers += ["refused" if got[0].startswith("ERR") else "served"] if place else []
+                    answers += (
+                        ["refused" if got[0].startswith("ERR") else "served"] if place else []
+                    )
     except (OSError, curio.TaskTimeout) as error:
         lines.append(f"({type(error).__name__})")
     finally:
@@ -61,17 +63,28 @@
 
 async def fleet(*arguments: str) -> int:
     """Runs `sumacloom fleet` as a person would."""
-    process = await curio.run_in_thread(lambda: subprocess.run(
-        [sys.executable, "-m", "sumacloom", "fleet", *arguments], cwd=ROOT, timeout=60,
-        env={**os.environ, "SUMACLOOM_REGISTRARS": f"127.0.0.1:{CTL},127.0.0.2:{CTL}"}))
+    process = await curio.run_in_thread(
+        lambda: subprocess.run(
+            [sys.executable, "-m", "sumacloom", "fleet", *arguments],
+            cwd=ROOT,
+            timeout=60,
+            env={**os.environ, "SUMACLOOM_REGISTRARS": f"127.0.0.1:{CTL},127.0.0.2:{CTL}"},
+        )
+    )
     return process.returncode
 
 
 async def shown(*arguments: str) -> list:
     """What `sumacloom fleet` prints as JSON."""
-    process = await curio.run_in_thread(lambda: subprocess.run(
-        [sys.executable, "-m", "sumacloom", "fleet", *arguments, "--json"], cwd=ROOT, capture_output=True, timeout=60,
-        env={**os.environ, "SUMACLOOM_REGISTRARS": f"127.0.0.1:{CTL},127.0.0.2:{CTL}"}))
+    process = await curio.run_in_thread(
+        lambda: subprocess.run(
+            [sys.executable, "-m", "sumacloom", "fleet", *arguments, "--json"],
+            cwd=ROOT,
+            capture_output=True,
+            timeout=60,
+            env={**os.environ, "SUMACLOOM_REGISTRARS": f"127.0.0.1:{CTL},127.0.0.2:{CTL}"},
+        )
+    )
     return json.loads(process.stdout)
 
 
@@ -83,8 +96,11 @@
         with open(path, "w", encoding="utf-8") as file:
             json.dump({"default": "deny", "networks": {"127.0.0.0/8": region}, **fields}, file)
         return await fleet("access", "set", path)
-    rules = [{"name": "desk", "action": "allow", "databases": ["books"], "regions": [region]},
-             {"name": "others", "action": "deny", "databases": ["*"], "regions": ["*"]}]
+
+    rules = [
+        {"name": "desk", "action": "allow", "databases": ["books"], "regions": [region]},
+        {"name": "others", "action": "deny", "databases": ["*"], "regions": ["*"]},
+    ]
     if await put(rules=rules):
         raise SystemExit("trial: the access list did not come into force")
     for number in (1, 2, 3):
@@ -92,14 +108,30 @@
         denied = await talk(number, "search", "FETCH a")
         if "ERR" in str(allowed) or not denied[0].startswith("ERR DENIED by the rule others"):
             raise SystemExit(f"trial: the access list was not enforced: {allowed} {denied}")
-    counted = {(row["node"], row["rule"]): (row["logins_allowed"], row["logins_denied"], row["requests_allowed"])
-               for row in await shown("access", "counts", "--nodes") if row["generation"] == 1}
-    if any(counted[f"counter-{number}", "desk"] != (1, 0, 2) or counted[f"counter-{number}", "others"] != (0, 1, 0)
-           for number in (1, 2, 3)):
+    counted = {
+        (row["node"], row["rule"]): (
+            row["logins_allowed"],
+            row["logins_denied"],
+            row["requests_allowed"],
+        )
+        for row in await shown("access", "counts", "--nodes")
+        if row["generation"] == 1
+    }
+    if any(
+        counted[f"counter-{number}", "desk"] != (1, 0, 2)
+        or counted[f"counter-{number}", "others"] != (0, 1, 0)
+        for number in (1, 2, 3)
+    ):
         raise SystemExit(f"trial: the counts don't agree with what was sent: {counted}")
     await fleet("access", "show"), await fleet("access", "counts")
-    codes = [await fleet("access", "check", "--database", database, "--address", "127.0.0.1") for database in ("books", "search")]
-    wrong = [await put(networks={"10.0.0.0/8": "mars"}), await fleet("access", "set", path, "--base", "0")]
+    codes = [
+        await fleet("access", "check", "--database", database, "--address", "127.0.0.1")
+        for database in ("books", "search")
+    ]
+    wrong = [
+        await put(networks={"10.0.0.0/8": "mars"}),
+        await fleet("access", "set", path, "--base", "0"),
+    ]
     if codes != [0, 7] or 0 in wrong or await put(default="allow"):
         raise SystemExit(f"trial: access commands ended with {codes} and {wrong}")
 
@@ -111,14 +143,24 @@
 
     async def agreed():
         return await fleet("pooling", "show", "--nodes") == 0
+
     await until("all nodes hold the pinned mode", agreed)
     await talk(1, "search", "FETCH a", "BEGIN", "FETCH a", "COMMIT")
     rows = await shown("pooling", "show")
-    if [(row["database"], row["mode"], row["judged"]) for row in rows] != [("search", "statement", False)]:
+    if [(row["database"], row["mode"], row["judged"]) for row in rows] != [
+        ("search", "statement", False)
+    ]:
         raise SystemExit(f"trial: the modes are {rows}")
-    wrong = [await fleet("pooling", "set", "search", "session"), await fleet("pooling", "set", "nowhere", "auto"),
-             await fleet("pooling", "set", "search", "auto", "--base", "0")]
-    if 0 in wrong or await fleet("pooling", "show", "--sessions") or await fleet("pooling", "set", "search", "auto"):
+    wrong = [
+        await fleet("pooling", "set", "search", "session"),
+        await fleet("pooling", "set", "nowhere", "auto"),
+        await fleet("pooling", "set", "search", "auto", "--base", "0"),
+    ]
+    if (
+        0 in wrong
+        or await fleet("pooling", "show", "--sessions")
+        or await fleet("pooling", "set", "search", "auto")
+    ):
         raise SystemExit(f"trial: pooling commands ended with {wrong}")
 
 
@@ -129,16 +171,25 @@
         json.dump(BLUEPRINT, file)
 
     async def served():
-        return (await talk(1, "books", "PUT a one"))[-2:-1] != [] and "DONE" in str(await talk(2, "books", "PUT a two"))
+        return (await talk(1, "books", "PUT a one"))[-2:-1] != [] and "DONE" in str(
+            await talk(2, "books", "PUT a two")
+        )
 
     async def put():
         return await fleet("blueprint", "put", path) == 0
+
     await until("the blueprint is taken", put)
     await until("writes are served", served)
     await show(1, "books", "BEGIN", "PUT a three", "FETCH a", "COMMIT")
     await show(3, "search", "FETCH a")
-    for command in (["status"], ["backends"], ["members"], ["rotation"], ["duties"],
-                    ["query", "SELECT zone, count(*) AS backends FROM backends GROUP BY zone"]):
+    for command in (
+        ["status"],
+        ["backends"],
+        ["members"],
+        ["rotation"],
+        ["duties"],
+        ["query", "SELECT zone, count(*) AS backends FROM backends GROUP BY zone"],
+    ):
         print(f"$ sumacloom fleet {' '.join(command)}", flush=True)
         if await fleet(*command):
             raise SystemExit("trial: a command failed")
@@ -146,21 +197,47 @@
         raise SystemExit("trial: the lane did not come into force")
     await try_access(folder)
     await try_pooling()
-    wrong_way = {**BLUEPRINT, "ver": 5, "svcs": [*BLUEPRINT["svcs"], {"name": "elsewhere"}],
-                 "routes": [{**BLUEPRINT["routes"][0], "svc": "elsewhere"}, BLUEPRINT["routes"][1]]}
+    wrong_way = {
+        **BLUEPRINT,
+        "ver": 5,
+        "svcs": [*BLUEPRINT["svcs"], {"name": "elsewhere"}],
+        "routes": [{**BLUEPRINT["routes"][0], "svc": "elsewhere"}, BLUEPRINT["routes"][1]],
+    }
     with open(path, "w", encoding="utf-8") as file:
         json.dump(wrong_way, file)
-    if await fleet("blueprint", "put", path) or "BUSY" not in str(await talk(1, "books", "PUT a lost")):
+    if await fleet("blueprint", "put", path) or "BUSY" not in str(
+        await talk(1, "books", "PUT a lost")
+    ):
         raise SystemExit("trial: the edit did not misdirect writes")
     if await fleet("undo", "--generation", "5") or await fleet("generations") or not await served():
         raise SystemExit("trial: the edit was not undone")
     items = os.path.join(folder, "items")
-    listening = await curio.spawn(fleet, "listen", "desk", "books", "--into", items, "--count", "2", "--seconds", "30")
+    listening = await curio.spawn(
+        fleet, "listen", "desk", "books", "--into", items, "--count", "2", "--seconds", "30"
+    )
 
     async def listens():
-        return "listening" in str(await curio.run_in_thread(lambda: subprocess.run(
-            [sys.executable, "-m", "sumacloom", "fleet", "listeners", "--at", f"127.0.0.2:{CTL}"], cwd=ROOT,
-            capture_output=True, timeout=60).stdout))
+        return "listening" in str(
+            await curio.run_in_thread(
+                lambda: (
+                    subprocess.run(
+                        [
+                            sys.executable,
+                            "-m",
+                            "sumacloom",
+                            "fleet",
+                            "listeners",
+                            "--at",
+                            f"127.0.0.2:{CTL}",
+                        ],
+                        cwd=ROOT,
+                        capture_output=True,
+                        timeout=60,
+                    ).stdout
+                )
+            )
+        )
+
     await until("the desk listens", listens)
     await talk(3, "books", "PUT a seven", "BEGIN", "PUT a eight", "PUT b nine", "COMMIT")
     if await listening.join() or await fleet("listeners", "--nodes"):
@@ -177,15 +254,39 @@
     await fleet("evacuate", "zone-b")
     await fleet("status")
     await fleet("restore", "zone-b")
-    wrong = await fleet("evacuate", "zone-x"), await fleet("query", "DROP TABLE members"), await fleet("log-level", "loud")
+    wrong = (
+        await fleet("evacuate", "zone-x"),
+        await fleet("query", "DROP TABLE members"),
+        await fleet("log-level", "loud"),
+    )
     if 0 in wrong:
         raise SystemExit("trial: a wrong command ended well")
     processes["registrar-1"] = start(folder, "registrar", 1)
 
     async def whole():
-        process = await curio.run_in_thread(lambda: subprocess.run(
-            [sys.executable, "-m", "sumacloom", "fleet", "query", "SELECT count(*) AS n FROM registrars WHERE votes",
-             "--json", "--at", f"127.0.0.2:{CTL}"], cwd=ROOT, capture_output=True, timeout=60))
+        process = await curio.run_in_thread(
+            lambda: subprocess.run(
+                [
+                    sys.executable,
+                    "-m",
+                    "sumacloom",
+                    "fleet",
+                    "query",
+                    "SELECT count(*) AS n FROM registrars WHERE votes",
+                    "--json",
+                    "--at",
+                    f"127.0.0.2:{CTL}",
+                ],
+                cwd=ROOT,
+                capture_output=True,
+                timeout=60,
+            )
+        )
         return b'"n": 3' in process.stdout
+
     await until("the killed registrar votes again", whole)
-    print("trial: statements", ", ".join(f"{count} {what}" for what, count in SENT.most_common()), flush=True)
+    print(
+        "trial: statements",
+        ", ".join(f"{count} {what}" for what, count in SENT.most_common()),
+        flush=True,
+    )
