--- a/sumacloom/agreement/membership.py
+++ b/sumacloom/agreement/membership.py
@@ -227,7 +227,7 @@
     stages = (
         [KEY],
         [key for key in KEYS if key != KEY],
-        [key for key in office.keys() if key not in KEYS],
+        [key for key in office if key not in KEYS],
     )  # the listeners name the feeds
     if move.stage < len(stages):
         keys = stages[move.stage]
--- a/sumacloom/fleet/tables.py
+++ b/sumacloom/fleet/tables.py
@@ -58,7 +58,7 @@
     try:
         for name, rows in tables.items():
             columns = list(dict.fromkeys(column for row in rows for column in row)) or ["empty"]
-            quoted = ", ".join('"%s"' % column.replace('"', '""') for column in columns)
+            quoted = ", ".join('"{}"'.format(column.replace('"', '""')) for column in columns)
             wire.execute(f'CREATE TABLE "{name}" ({quoted})')
             marks = ", ".join("?" * len(columns))
             wire.executemany(
--- a/sumacloom/registrar/admin.py
+++ b/sumacloom/registrar/admin.py
@@ -83,7 +83,7 @@
                 if key in office.acceptor.slots
                 else "-",
             }
-            for key in office.keys()
+            for key in office
         ],
         "members": [
             {
--- a/sumacloom/registrar/shell.py
+++ b/sumacloom/registrar/shell.py
@@ -108,7 +108,7 @@
     def pass_news(self) -> None:
         """Sends the counters that hang on us directly what they lack."""
         board, digest = self.office.board, self.office.board.digest()
-        for node, link in self.counters.items():
+        for _node, link in self.counters.items():
             if (
                 link.digest is None
                 or link.digest == digest
--- a/tests/libraries.py
+++ b/tests/libraries.py
@@ -1,4 +1,8 @@
-"""The pinned libraries: installed into target/deps if they aren't there, and found there."""
+"""The pinned libraries of the programs, and of tests and tools: installed if missing, then found.
+
+What the programs run on goes into `target/deps`, as the deploy file's build does it; what only tests
+and tools need goes into `target/tools`, so that neither is measured or deployed with the other.
+"""
 
 import importlib.metadata
 import os
@@ -8,7 +12,10 @@
 
 from .conftest import ROOT
 
-REQUIREMENTS, FOLDER = os.path.join(ROOT, "requirements.txt"), os.path.join(ROOT, "target", "deps")
+REQUIREMENTS = {
+    os.path.join(ROOT, "requirements.txt"): os.path.join(ROOT, "target", "deps"),
+    os.path.join(ROOT, "requirements-dev.txt"): os.path.join(ROOT, "target", "tools"),
+}
 
 
 def pinned(text: str) -> dict[str, str]:
@@ -32,25 +39,17 @@
 
 
 def install() -> None:
-    """Installs what is missing or of another version, and puts the folder first on the path, for child processes too."""
-    with open(REQUIREMENTS, encoding="utf-8") as file:
-        wanted = pinned(file.read())
-    if not wanted.items() <= installed(FOLDER).items():
-        subprocess.run(
-            [
-                sys.executable,
-                "-m",
-                "pip",
-                "install",
-                "-q",
-                "-U",
-                "--target",
-                FOLDER,
-                "-r",
-                REQUIREMENTS,
-            ],
-            check=True,
-        )
-    if FOLDER not in sys.path:
-        sys.path.insert(0, FOLDER)
-    os.environ["PYTHONPATH"] = os.pathsep.join(filter(None, [FOLDER, os.environ.get("PYTHONPATH")]))
+    """Installs what is missing or of another version, and puts the folders first on the path.
+
+    Child processes inherit the path, so the programs under test find the same libraries.
+    """
+    for requirements, folder in REQUIREMENTS.items():
+        with open(requirements, encoding="utf-8") as file:
+            wanted = pinned(file.read())
+        if not wanted.items() <= installed(folder).items():
+            pip = [sys.executable, "-m", "pip", "install", "-q", "-U", "--target", folder]
+            subprocess.run([*pip, "-r", requirements], check=True)
+        if folder not in sys.path:
+            sys.path.insert(0, folder)
+    folders = [*REQUIREMENTS.values(), os.environ.get("PYTHONPATH", "")]
+    os.environ["PYTHONPATH"] = os.pathsep.join(filter(None, folders))
--- a/tests/model/acceptors.py
+++ b/tests/model/acceptors.py
@@ -18,6 +18,7 @@
 from sumacloom.agreement.proposer import Ballots, Proposal
 from sumacloom.agreement.values import BlueprintValue, decode, put_blueprint
 from sumacloom.common.types import NO_BALLOT
+import itertools
 
 FIRST = Configuration(1, (), ("a", "b", "c"))
 JOINT = Configuration(2, ("a", "b", "c"), ("b", "c", "d"))
@@ -233,7 +234,7 @@
             asker.proposal.decided for asker in self.askers.values() if asker.proposal.decided
         )
         values = [decode(BlueprintValue, value) for _ballot, value in decided]
-        for lower, higher in zip(values, values[1:]):
+        for lower, higher in itertools.pairwise(values):
             if not set(lower.taken.entries) <= set(higher.taken.entries):
                 raise Violation(
                     f"{lower.taken.entries} was decided and is missing from {higher.taken.entries}"
--- a/tests/model/world.py
+++ b/tests/model/world.py
@@ -22,6 +22,7 @@
 from sumacloom.courier.messages import PeerBeat, Unframer, frame
 
 from .acceptors import Violation
+import itertools
 
 BEAT_S, STEP_S = 0.1, 0.02
 
@@ -72,7 +73,7 @@
         if self.decided.setdefault((key, tuple(ballot)), value) != value:
             raise Violation(f"{key}: two values were decided at {ballot}")
         chain = sorted((held, found) for (name, held), found in self.decided.items() if name == key)
-        for (_low, lower), (_high, higher) in zip(chain, chain[1:]):
+        for (_low, lower), (_high, higher) in itertools.pairwise(chain):
             if key == "blueprint":
                 before, after = decode(BlueprintValue, lower), decode(BlueprintValue, higher)
                 if after.taken.entries[: len(before.taken.entries)] != before.taken.entries:
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -58,7 +58,7 @@
 ]
 
 
-@pytest.mark.parametrize("rules, database, address, rule, allowed, region", VERDICTS)
+@pytest.mark.parametrize(("rules", "database", "address", "rule", "allowed", "region"), VERDICTS)
 def test_verdicts(rules, database, address, rule, allowed, region):
     found = Access(body(*rules)).verdict(database, address)
     assert (found.rule, found.allowed, found.region) == (rule, allowed, region)
@@ -89,7 +89,7 @@
 ]
 
 
-@pytest.mark.parametrize("raw, name", INVALID)
+@pytest.mark.parametrize(("raw", "name"), INVALID)
 def test_lists_are_checked(raw, name):
     found = check_access(raw, {"north", "south"})
     assert (found.err().name if found.is_err() else "") == name
@@ -129,7 +129,7 @@
 ]
 
 
-@pytest.mark.parametrize("changes, last, stage", CHANGES)
+@pytest.mark.parametrize(("changes", "last", "stage"), CHANGES)
 def test_changes_of_the_list(changes, last, stage):
     value = None
     for change in changes:
@@ -440,7 +440,7 @@
 ]
 
 
-@pytest.mark.parametrize("replies, code, told", COMMANDS)
+@pytest.mark.parametrize(("replies", "code", "told"), COMMANDS)
 def test_the_command_waits_for_every_counter_and_names_who_is_missing(
     tmp_path, replies, code, told, capsys
 ):
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -40,7 +40,7 @@
 ]
 
 
-@pytest.mark.parametrize("tag, text, before, odd", ODD)
+@pytest.mark.parametrize(("tag", "text", "before", "odd"), ODD)
 def test_a_line_out_of_turn_ends_the_wire(tag, text, before, odd):
     wire = Wire(1, "p", "svc", 0.0)
     wire.ask(tag, "5" if tag == "run" else "-", text, 0.0)
@@ -95,7 +95,7 @@
 ]
 
 
-@pytest.mark.parametrize("texts, answers, odd, told, at_commit", DOUBTS)
+@pytest.mark.parametrize(("texts", "answers", "odd", "told", "at_commit"), DOUBTS)
 def test_who_hears_what_when_the_answer_does_not_fit(texts, answers, odd, told, at_commit):
     stage = Stage()
     lead, *_others = stage.warm()
@@ -139,7 +139,7 @@
     stage.take(lead.key), stage.take(1)
     stage.answer(lead, "DONE 7.1", "READY T 1.1", "READY T 1.1")
     assert stage.take(lead.key) == []
-    assert [line for line in stage.take(1) if line.startswith("ERR")][0].startswith(
+    assert next(line for line in stage.take(1) if line.startswith("ERR")).startswith(
         "ERR ROLLEDBACK"
     )
 
@@ -152,7 +152,7 @@
 ]
 
 
-@pytest.mark.parametrize("lines, answer, read", ENDS)
+@pytest.mark.parametrize(("lines", "answer", "read"), ENDS)
 def test_a_client_that_sends_no_more_still_reads_its_answer(lines, answer, read):
     stage = Stage()
     lead, *_others = stage.warm()
@@ -186,7 +186,7 @@
 
 
 @pytest.mark.parametrize(
-    "ends, told", [(True, ["ERR BUSY not run; come back in 200 ms", "READY I -"]), (False, [])]
+    ("ends", "told"), [(True, ["ERR BUSY not run; come back in 200 ms", "READY I -"]), (False, [])]
 )
 def test_a_session_that_ends_while_its_statement_waits_leaves_nothing_behind(ends, told):
     stage = Stage()
@@ -244,7 +244,7 @@
 ]
 
 
-@pytest.mark.parametrize("lines, unread, told", STILL)
+@pytest.mark.parametrize(("lines", "unread", "told"), STILL)
 def test_after_a_standstill_what_lies_unread_is_read_before_a_timer_judges(lines, unread, told):
     stage = Stage()
     lead, *_others = stage.warm()
@@ -260,7 +260,7 @@
 
 def test_a_machine_that_is_always_slow_still_comes_to_its_timers():
     stage = Stage()
-    lead, *_others = stage.warm()
+    _lead, *_others = stage.warm()
     stage.client(1, "books")
     stage.say(1, "QUERY 5 PUT a b")
     for _look in range(6):
--- a/tests/test_calls_model.py
+++ b/tests/test_calls_model.py
@@ -222,7 +222,7 @@
     def holds(self):
         kept = self.world.kept
         assert all(count == 1 for count in kept.values()), f"run twice: {kept}"
-        for client, one in self.world.tries.values():
+        for _client, one in self.world.tries.values():
             assert not (one.promised and any(kept[ident] for ident in one.writes)), (
                 f"kept after {one.promised}"
             )
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -38,7 +38,7 @@
 ]
 
 
-@pytest.mark.parametrize("changes, named", REFUSED)
+@pytest.mark.parametrize(("changes", "named"), REFUSED)
 def test_what_can_t_be_measured_is_refused_in_one_line_before_anything_starts(
     changes, named, capsys, monkeypatch
 ):
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -20,6 +20,7 @@
 from sumacloom.registrar.syncing import sync_disk
 
 from .test_voters import Land
+import itertools
 
 
 @pytest.fixture(autouse=True)
@@ -123,9 +124,10 @@
         clock.now += 0.25
         put(one, number)
         curio.run(sync_disk, one)
-    pauses = [later - earlier for earlier, later in zip(tries, tries[1:])][:3]
+    pauses = [later - earlier for earlier, later in itertools.pairwise(tries)][:3]
     assert (
-        all(later >= 1.5 * earlier for earlier, later in zip(pauses, pauses[1:])) and pauses[0] >= 1
+        all(later >= 1.5 * earlier for earlier, later in itertools.pairwise(pauses))
+        and pauses[0] >= 1
     )
     assert ledger.most <= 4 * 4000 + 8000
     assert one.sent == [f"reply {number}" for number in range(600)]
@@ -174,7 +176,7 @@
 
 def test_a_storm_does_not_starve_the_snapshot(tmp_path, monkeypatch):
     """New writes come while each batch is synced, so that the disk is never idle."""
-    one, clock = small_shell(tmp_path, monkeypatch)
+    one, _clock = small_shell(tmp_path, monkeypatch)
     ledger, told = one.office.storage.ledger, iter(range(200))
     original = ledger.append
 
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -218,7 +218,7 @@
 ]
 
 
-@pytest.mark.parametrize("decided, undecided, expected", FIRST_WORDS)
+@pytest.mark.parametrize(("decided", "undecided", "expected"), FIRST_WORDS)
 def test_a_registrar_just_started_is_settled_only_by_a_whole_word(decided, undecided, expected):
     """A peer's beat out of turn tells nothing of what is decided; it was read as "nothing is"."""
     land, one = just_started(15)
@@ -239,7 +239,7 @@
 
 
 def test_a_whole_word_that_piled_up_is_dated_by_the_beat_that_it_answers():
-    land, one = just_started(16)
+    _land, one = just_started(16)
     old = one.contact.number
     one.tick(20.0)
     peer_beat(one, A, {}, echo=old)
--- a/tests/test_contact_callers.py
+++ b/tests/test_contact_callers.py
@@ -155,7 +155,7 @@
 ]
 
 
-@pytest.mark.parametrize("method, body", LEAVING)
+@pytest.mark.parametrize(("method", "body"), LEAVING)
 def test_what_a_backend_says_to_one_that_nobody_hears_is_taken_and_not_acknowledged(method, body):
     land, desk = cut_off()
     reply = desk.call(method, "/api/instances/i-1", body)
@@ -190,7 +190,7 @@
 ]
 
 
-@pytest.mark.parametrize("method, path, body, headers", ORDERS)
+@pytest.mark.parametrize(("method", "path", "body", "headers"), ORDERS)
 def test_an_order_to_a_cut_off_registrar_is_sent_on_at_once_and_not_judged(
     method, path, body, headers
 ):
@@ -241,7 +241,7 @@
 ]
 
 
-@pytest.mark.parametrize("answers, expected", ANSWERS)
+@pytest.mark.parametrize(("answers", "expected"), ANSWERS)
 def test_a_command_prefers_a_registrar_that_hears_its_majority(answers, expected, monkeypatch):
     turns = iter(answers)
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -220,7 +220,7 @@
 ]
 
 
-@pytest.mark.parametrize("steps, expected", BEATS)
+@pytest.mark.parametrize(("steps", "expected"), BEATS)
 def test_beats(steps, expected):
     roster, now = Roster(Board()), 0.0
     for kind, body in steps:
@@ -305,7 +305,7 @@
 ]
 
 
-@pytest.mark.parametrize("seen, expected", ROTATIONS)
+@pytest.mark.parametrize(("seen", "expected"), ROTATIONS)
 def test_the_band(seen, expected):
     rotation = Rotation(Health())
     rotation.see("a", Position(1, 100), 0.0)
@@ -349,7 +349,7 @@
 ]
 
 
-@pytest.mark.parametrize("raw, name", BLUEPRINTS)
+@pytest.mark.parametrize(("raw", "name"), BLUEPRINTS)
 def test_blueprints(raw, name):
     result = check_blueprint(raw)
     assert (result.err().name if result.is_err() else None) == name
@@ -368,7 +368,7 @@
 ]
 
 
-@pytest.mark.parametrize("text, role, name", TEXTS)
+@pytest.mark.parametrize(("text", "role", "name"), TEXTS)
 def test_settings(text, role, name):
     result = parse_settings(text, role)
     assert (result.err().name if result.is_err() else None) == name
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -119,7 +119,7 @@
 ]
 
 
-@pytest.mark.parametrize("sync, outcomes, promoted", DEAD)
+@pytest.mark.parametrize(("sync", "outcomes", "promoted"), DEAD)
 def test_replacing_a_dead_primary(sync, outcomes, promoted):
     asked, _leads = play(replace_dead("s", P, [Q, R], sync), {**outcomes})
     assert [name for who, name in asked if who == "platform"] == promoted
@@ -214,7 +214,7 @@
 ]
 
 
-@pytest.mark.parametrize("outcomes, promoted, steps_down", HANDED)
+@pytest.mark.parametrize(("outcomes", "promoted", "steps_down"), HANDED)
 def test_handing_over_in_order(outcomes, promoted, steps_down):
     asked, _leads = play(hand_over("s", P, [Q]), {**outcomes})
     assert [name for who, name in asked if who == "platform"] == promoted
@@ -233,7 +233,7 @@
 ]
 
 
-@pytest.mark.parametrize("records, zones, dark, expected", DRAWN)
+@pytest.mark.parametrize(("records", "zones", "dark", "expected"), DRAWN)
 def test_which_plan_is_drawn(records, zones, dark, expected):
     drawn = draw_plan("s", records, zones, dark.get, 0, 10.0, 0.5, 9.0)
     assert (drawn and drawn[0]) == expected
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize(
-    "moved, leaves",
+    ("moved", "leaves"),
     [
         (MINE, True),
         (OTHERS, False),
@@ -113,7 +113,7 @@
 
 
 @pytest.mark.parametrize(
-    "delays, leaves, asked",
+    ("delays", "leaves", "asked"),
     [
         ([0.1], True, 1),
         ([0.5], True, 1),
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize(
-    "age, moved, asked, leaves",
+    ("age", "moved", "asked", "leaves"),
     [
         (0.2, MINE, 0, True),
         (0.2, OTHERS, 0, False),
@@ -174,7 +174,7 @@
     )
 
 
-@pytest.mark.parametrize("slow, asked", [(0.4, 1), (0.7, 2)])
+@pytest.mark.parametrize(("slow", "asked"), [(0.4, 1), (0.7, 2)])
 def test_a_reading_grows_old_while_we_dial(slow, asked, monkeypatch):
     desk = Desk()
 
@@ -210,7 +210,7 @@
 
 
 @pytest.mark.parametrize(
-    "decided, doubt, lost, done, fence",
+    ("decided", "doubt", "lost", "done", "fence"),
     [
         (MINE, 5, False, True, 6),
         (MINE, 4, False, True, 5),  # above the doubt already: nothing is to be raised
@@ -244,7 +244,7 @@
 
 
 @pytest.mark.parametrize(
-    "duty, fencing, lease_ms, before, in_touch, wait",
+    ("duty", "fencing", "lease_ms", "before", "in_touch", "wait"),
     [
         (RAISED, True, 0, "10.0.0.2", True, None),
         (RAISED, False, 0, "10.0.0.2", False, tenure.LEASE_S),
@@ -333,7 +333,7 @@
 ]
 
 
-@pytest.mark.parametrize("chunks, status", ANSWERS)
+@pytest.mark.parametrize(("chunks", "status"), ANSWERS)
 def test_only_a_whole_answer_counts_and_each_call_has_a_connection_of_its_own(chunks, status):
     sockets = []
 
--- a/tests/test_first_voters.py
+++ b/tests/test_first_voters.py
@@ -42,7 +42,7 @@
 ]
 
 
-@pytest.mark.parametrize("seeds, tried, most", FIRST_VOTERS)
+@pytest.mark.parametrize(("seeds", "tried", "most"), FIRST_VOTERS)
 def test_a_vote_counts_only_for_who_counts_by_the_same_first_voters(seeds, tried, most):
     """Found: two sets of one generation were one to the acceptors, and who was in both voted in both."""
     land = started(seeds)
@@ -81,7 +81,7 @@
 def test_where_what_is_borne_differs_the_most_that_a_voter_says_is_kept_to(caplog, capsys):
     """One that tolerates one loss would take the dead out of five; the next that tolerates two must not lose it."""
     everyone = (A, B, C, D, E)
-    land = started({ip: everyone for ip in everyone}, nodes={A: 1, B: 2, C: 2, D: 2, E: 2})
+    land = started(dict.fromkeys(everyone, everyone), nodes={A: 1, B: 2, C: 2, D: 2, E: 2})
     land.run(3.0)
     assert {membership.least(one) for one in land.offices.values()} == {5}
     land.kill(E)
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize(
-    "more, expected",
+    ("more", "expected"),
     [
         ("seeds = []\nbootstrap = true", "deploy_invalid"),
         ("bootstrap = true", "deploy_invalid"),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -137,7 +137,7 @@
 ]
 
 
-@pytest.mark.parametrize("replies, command, code", CASES)
+@pytest.mark.parametrize(("replies", "command", "code"), CASES)
 def test_commands(replies, command, code, capsys):
     assert command(Stub(*replies).address) == code
     shown = capsys.readouterr()
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -263,13 +263,13 @@
 ]
 
 
-@pytest.mark.parametrize("name, operations, fits", FAULTS, ids=[row[0] for row in FAULTS])
+@pytest.mark.parametrize(("name", "operations", "fits"), FAULTS, ids=[row[0] for row in FAULTS])
 def test_the_checker_of_configurations(name, operations, fits):
     assert linear([Operation(*row) for row in operations], configuration, (0, frozenset())) == fits
 
 
 @pytest.mark.parametrize(
-    "last, fenced, fits", [(set(), True, True), ({"z"}, True, False), ({"z"}, False, True)]
+    ("last", "fenced", "fits"), [(set(), True, True), ({"z"}, True, False), ({"z"}, False, True)]
 )
 def test_the_checker_of_evacuations(last, fenced, fits):
     history = [
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -27,7 +27,7 @@
 ]
 
 
-@pytest.mark.parametrize("text, code, told", CASES)
+@pytest.mark.parametrize(("text", "code", "told"), CASES)
 def test_the_run(tmp_path, text, code, told):
     (tmp_path / "test_suite.py").write_text(SUITE)
     (tmp_path / "conftest.py").write_text(
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -73,7 +73,7 @@
 ]
 
 
-@pytest.mark.parametrize("current, change, expected", OFFERS)
+@pytest.mark.parametrize(("current", "change", "expected"), OFFERS)
 def test_changes_of_the_lanes(current, change, expected):
     import msgspec
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -65,7 +65,7 @@
 ]
 
 
-@pytest.mark.parametrize("data, most, damaged", OLD_LOGS)
+@pytest.mark.parametrize(("data", "most", "damaged"), OLD_LOGS)
 def test_a_log_of_the_first_version_with_whole_records_behind_damage_is_lost_memory(
     tmp_path, data, most, damaged
 ):
@@ -340,13 +340,13 @@
 
 
 def test_what_append_returned_from_is_there_after_a_loss_of_power_at_any_step(disk_of):
-    disk, ledger, seen = crash_everywhere(disk_of)
+    disk, _ledger, seen = crash_everywhere(disk_of)
     assert len(seen) > 40 and sorted(disk.names) == ["log-4", "snapshot-4"]
 
 
 @pytest.mark.parametrize("fail_at", range(1, 35))
 def test_the_same_with_any_one_step_refused(disk_of, fail_at):
-    disk, ledger, _seen = crash_everywhere(disk_of, fail_at, most=6)
+    disk, _ledger, _seen = crash_everywhere(disk_of, fail_at, most=6)
     assert disk.steps >= fail_at, "no such step: shorten the table"
     assert len(disk.names) <= 4
 
--- a/tests/test_listen_command.py
+++ b/tests/test_listen_command.py
@@ -97,7 +97,7 @@
 ]
 
 
-@pytest.mark.parametrize("replies, command, code, said", COMMANDS)
+@pytest.mark.parametrize(("replies", "command", "code", "said"), COMMANDS)
 def test_commands(replies, command, code, said, tmp_path, capsys):
     assert command(Stub(*replies).address, str(tmp_path / "items")) == code
     assert said in capsys.readouterr().err
--- a/tests/test_listeners.py
+++ b/tests/test_listeners.py
@@ -71,7 +71,7 @@
 ]
 
 
-@pytest.mark.parametrize("changes, expected, left", FEEDS)
+@pytest.mark.parametrize(("changes", "expected", "left"), FEEDS)
 def test_a_feed(changes, expected, left):
     value, names = chain(feed.Feed, *changes)
     assert names == expected and [item.text for item in value.items] == left
@@ -123,7 +123,7 @@
 ]
 
 
-@pytest.mark.parametrize("changes, expected, count", ROWS)
+@pytest.mark.parametrize(("changes", "expected", "count"), ROWS)
 def test_the_list(changes, expected, count):
     value, names = chain(listeners.Listeners, *changes)
     assert names == expected and len(value.rows) == count
@@ -219,7 +219,7 @@
 ]
 
 
-@pytest.mark.parametrize("lines, kind", ENDS)
+@pytest.mark.parametrize(("lines", "kind"), ENDS)
 @pytest.mark.parametrize("gone", [False, True])
 def test_the_verdict_of_a_commit(lines, kind, gone):
     """Also when the client left while its COMMIT was under way."""
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -129,7 +129,7 @@
     return one
 
 
-@pytest.mark.parametrize("voters, silent, leaving, fresh, nodes, expected", WANTED)
+@pytest.mark.parametrize(("voters", "silent", "leaving", "fresh", "nodes", "expected"), WANTED)
 def test_who_is_wanted(voters, silent, leaving, fresh, nodes, expected):
     """Found: the unheard went in the order of their names."""
     assert membership.wanted(placed(voters, silent, leaving, fresh, nodes), 100.0) == tuple(
@@ -163,7 +163,9 @@
 ]
 
 
-@pytest.mark.parametrize("voters, silent, leaving, fresh, nodes, target, expected", BETTERS)
+@pytest.mark.parametrize(
+    ("voters", "silent", "leaving", "fresh", "nodes", "target", "expected"), BETTERS
+)
 def test_what_is_for_the_better(voters, silent, leaving, fresh, nodes, target, expected):
     assert (
         membership.betters(placed(voters, silent, leaving, fresh, nodes), target, 100.0) is expected
@@ -290,7 +292,7 @@
     assert land.decides()
 
 
-@pytest.mark.parametrize("nodes, seeds, others", [(1, 3, 1), (1, 3, 0), (2, 3, 2), (2, 3, 3)])
+@pytest.mark.parametrize(("nodes", "seeds", "others"), [(1, 3, 1), (1, 3, 0), (2, 3, 2), (2, 3, 3)])
 def test_after_their_time_any_further_loss_that_is_tolerated_leaves_a_majority(
     nodes, seeds, others
 ):
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -48,7 +48,7 @@
 }
 
 
-@pytest.mark.parametrize("world, states", WHOLE)
+@pytest.mark.parametrize(("world", "states"), WHOLE)
 def test_no_order_of_steps_in_a_small_world_breaks_the_agreement(world, states):
     found = explore(world())
     assert (found.violation, found.whole, found.states) == ("", True, states)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -53,8 +53,8 @@
 
 
 # ------------------------------------------------------------ what tells a taken order
-OLD = encode([70, body_of(70), [(ver, "%032x" % ver) for ver in range(7, 71)], [], []])
-YOUNG = encode([3, body_of(3), [(2, "%032x" % 2), (3, "%032x" % 3)], [], []])
+OLD = encode([70, body_of(70), [(ver, "{:032x}".format(ver)) for ver in range(7, 71)], [], []])
+YOUNG = encode([3, body_of(3), [(2, "{:032x}".format(2)), (3, "{:032x}".format(3))], [], []])
 FIRST = put_blueprint(1, body_of(1), 0)
 MEMORY = [
     # (changes since the first, the order that comes, what it is told)
@@ -86,7 +86,7 @@
 ]
 
 
-@pytest.mark.parametrize("count, order, expected", MEMORY)
+@pytest.mark.parametrize(("count", "order", "expected"), MEMORY)
 def test_a_taken_order_is_known_again_or_left_unclear(count, order, expected):
     """Found by a storm: after 65 further changes an order that was taken got 412."""
     assert said(order, storm(1 + count)) == expected
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize(
-    "value, order, expected",
+    ("value", "order", "expected"),
     [
         (OLD, put_blueprint(6, b"x", 5), "forgotten"),
         (OLD, put_blueprint(70, b"x", 69), "stale_match"),
@@ -115,7 +115,7 @@
     assert said(order, value) == expected
     found = decode(BlueprintValue, value)
     assert (
-        found.taken.holds(found.ver, bytes.fromhex("%032x" % found.ver))
+        found.taken.holds(found.ver, bytes.fromhex("{:032x}".format(found.ver)))
         and decode(BlueprintValue, encode(found)) == found
     )
 
@@ -289,7 +289,7 @@
 
 @pytest.mark.parametrize("order", [post_drain, delete_drain])
 @pytest.mark.parametrize(
-    "gone, waking, zone, status",
+    ("gone", "waking", "zone", "status"),
     [
         (False, False, "z", 200),
         (True, False, "z", 503),
@@ -317,7 +317,7 @@
 ]
 
 
-@pytest.mark.parametrize("match, body, status", PUTS)
+@pytest.mark.parametrize(("match", "body", "status"), PUTS)
 def test_answers_to_configurations(match, body, status):
     """Found by reading: a number that can't be read or held ended the connection, or the task, without an answer."""
     request = Request("PUT", "/api/config", {"if-match": match}, body, lambda: True)
--- a/tests/test_pooling.py
+++ b/tests/test_pooling.py
@@ -65,7 +65,7 @@
 ]
 
 
-@pytest.mark.parametrize("row, requests, stateful, seconds, said", JUDGED)
+@pytest.mark.parametrize(("row", "requests", "stateful", "seconds", "said"), JUDGED)
 def test_what_a_counter_says(row, requests, stateful, seconds, said):
     found = Pooling(PoolSettings())
     found.take(row.since or 1 if row else 0, {"books": row} if row else {})
@@ -87,7 +87,7 @@
 ]
 
 
-@pytest.mark.parametrize("line, mode", SIGNS)
+@pytest.mark.parametrize(("line", "mode"), SIGNS)
 def test_the_first_sign_of_state_tightens_a_session_at_once(line, mode):
     stage = Stage()
     stage.warm()
@@ -202,7 +202,7 @@
 ]
 
 
-@pytest.mark.parametrize("changes, mode, pinned, strikes, last", CHANGES)
+@pytest.mark.parametrize(("changes", "mode", "pinned", "strikes", "last"), CHANGES)
 def test_changes_of_the_register(changes, mode, pinned, strikes, last):
     value = None
     for change in changes:
@@ -251,7 +251,7 @@
 ]
 
 
-@pytest.mark.parametrize("body, headers, status, name", BAD)
+@pytest.mark.parametrize(("body", "headers", "status", "name"), BAD)
 def test_orders_are_checked(body, headers, status, name):
     board = Board()
     board.take(News(blueprint(3), 0, None, None))
@@ -283,7 +283,7 @@
 
 
 @pytest.mark.parametrize(
-    "rows, code",
+    ("rows", "code"),
     [
         (NODES, 0),
         ([*NODES, {"node": "edge-2", "generation": 2, "digest": "bb"}], 6),
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -41,7 +41,7 @@
 ]
 
 
-@pytest.mark.parametrize("data, status", HTTP)
+@pytest.mark.parametrize(("data", "status"), HTTP)
 def test_bad_http_gets_its_status_and_ends_only_its_connection(data, status):
     reply = exchange(data)
     assert reply.split(b" ")[1:2] == ([status] if status else [])
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -301,7 +301,7 @@
 ]
 
 
-@pytest.mark.parametrize("change, current, expected", CHANGES)
+@pytest.mark.parametrize(("change", "current", "expected"), CHANGES)
 def test_changes(change, current, expected):
     result = change(None if current is None else msgspec.msgpack.encode(current))
     got = result.err().name if result.is_err() else ("same" if result.ok() is None else "ok")
--- a/tests/test_spool.py
+++ b/tests/test_spool.py
@@ -63,7 +63,7 @@
         land.deaf = {(home, spare)}
     asked = land.now
     land.run(0.6)
-    ((number, at, holders),) = land.held
+    ((_number, at, holders),) = land.held
     assert at - asked <= 0.6 and len(holders) >= 2, (trouble, holders)
     assert trouble == "none" or spare not in holders
 
--- a/tests/test_statements.py
+++ b/tests/test_statements.py
@@ -51,7 +51,7 @@
 ]
 
 
-@pytest.mark.parametrize("database, before, last, expected", LOST)
+@pytest.mark.parametrize(("database", "before", "last", "expected"), LOST)
 def test_a_lost_wire_is_told_truly(database, before, last, expected):
     stage = Stage()
     lead, *_others = stage.warm()
@@ -291,7 +291,7 @@
 ]
 
 
-@pytest.mark.parametrize("line, reply", LOGINS)
+@pytest.mark.parametrize(("line", "reply"), LOGINS)
 def test_bad_logins_are_told_and_closed(line, reply):
     stage = Stage()
     stage.floor.session_opened(1, stage.now)
@@ -396,7 +396,7 @@
 ]
 
 
-@pytest.mark.parametrize("lines, expected", ENDS)
+@pytest.mark.parametrize(("lines", "expected"), ENDS)
 def test_at_the_last_moment_of_leaving_nothing_asked_stays_without_a_word(lines, expected):
     from sumacloom.counter import upkeep
 
--- a/tests/test_undo.py
+++ b/tests/test_undo.py
@@ -73,7 +73,7 @@
 ]
 
 
-@pytest.mark.parametrize("changes, ver, body, restores, last", CASES)
+@pytest.mark.parametrize(("changes", "ver", "body", "restores", "last"), CASES)
 def test_results(changes, ver, body, restores, last):
     value, name = chain(*changes)
     assert name == last
@@ -255,7 +255,7 @@
 ]
 
 
-@pytest.mark.parametrize("rows, without, code", WATCHED)
+@pytest.mark.parametrize(("rows", "without", "code"), WATCHED)
 def test_the_command_waits_for_every_node_and_names_who_is_missing(rows, without, code, capsys):
     stub = Stub(UNDONE, reply(200, rows))
     assert commands.undo(generation=7, at=stub.address, wait=0.0, without=without) == code
--- a/tests/test_voters.py
+++ b/tests/test_voters.py
@@ -335,7 +335,7 @@
 ]
 
 
-@pytest.mark.parametrize("payloads, expected", RECORDS)
+@pytest.mark.parametrize(("payloads", "expected"), RECORDS)
 def test_what_a_ledger_may_hold(payloads, expected):
     opened = storage.open_acceptor(payloads)
     got = opened.err().name if opened.is_err() else ("whole" if opened.ok().learned else "learning")
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -12,7 +12,7 @@
 ]
 
 
-@pytest.mark.parametrize("headless, pending, least, most", HOLDS)
+@pytest.mark.parametrize(("headless", "pending", "least", "most"), HOLDS)
 def test_how_long_a_statement_is_held_without_a_lead(headless, pending, least, most):
     routes = [{**BLUEPRINT["routes"][0], "goalMs": 400}]
     stage = Stage({**BLUEPRINT, "routes": routes})
