--- a/capacity/counted.py
+++ b/capacity/counted.py
@@ -9,15 +9,15 @@
 import sys
 
 import sumacloom.__main__  # noqa: F401  (finds the libraries)
-from sumacloom.courier import links
 from sumacloom.daemon import run_daemon
+from sumacloom.transport import link
 
 COUNTS = {"messages_out": 0, "bytes_out": 0, "messages_in": 0, "bytes_in": 0}
 
 
 def count_links() -> None:
     """Puts the counting around the links' own code."""
-    frame, feed = links.frame, links.Unframer.feed
+    frame, feed = link.frame, link.Unframer.feed
 
     def counted_frame(message):
         data = frame(message)
@@ -31,7 +31,7 @@
         COUNTS["bytes_in"] += len(data)
         return found
 
-    links.frame, links.Unframer.feed = counted_frame, counted_feed
+    link.frame, link.Unframer.feed = counted_frame, counted_feed
 
 
 def main(role: str, path: str) -> int:
--- a/capacity/hollow.py
+++ b/capacity/hollow.py
@@ -9,10 +9,10 @@
 import sys
 import time
 
-from sumacloom.common.logs import start_logs
-from sumacloom.common.settings import Settings
-from sumacloom.counter.member import Member
-from sumacloom.counter.yard import Yard
+from sumacloom.logs import start_logs
+from sumacloom.pooler.membership import Member
+from sumacloom.pooler.server_pools import Yard
+from sumacloom.settings import Settings
 
 from .counted import COUNTS, count_links
 
--- a/capacity/load.py
+++ b/capacity/load.py
@@ -11,8 +11,8 @@
 
 import curio
 
-from sumacloom.common.lines import LineSplitter, encode
-from sumacloom.courier.links import dial, listen
+from sumacloom.line_protocol import LineSplitter, encode
+from sumacloom.transport.link import dial, listen
 
 from .fleet import CTL, NET, PORTS, REGISTRARS, ROOT, TICKS, Fleet, call
 
--- a/sumacloom/__main__.py
+++ b/sumacloom/__main__.py
@@ -11,11 +11,11 @@
 def main(arguments: list[str]) -> int:
     """Runs a program; the bare daemons skip the command line's parser, which is slow to import."""
     if arguments in (["counter"], ["registrar"]):
-        from .daemon import run_daemon
+        from sumacloom.daemon import run_daemon
 
         return run_daemon(arguments[0])
     sys.argv[0] = "sumacloom"
-    from .programs import run
+    from sumacloom.cli.programs import run
 
     return run(arguments)
 
--- a/sumacloom/fleet/access.py
+++ b/sumacloom/cli/access_commands.py
@@ -3,9 +3,9 @@
 import time
 import urllib.parse
 
-from ..common.results import Err, Ok, Result, mishap
-from . import client
-from .calls import ask, finish, print_rows
+from sumacloom.cli import client
+from sumacloom.cli.calls import ask, finish, print_rows
+from sumacloom.errors import Err, Ok, Result, mishap
 
 COUNTS = ("logins_allowed", "logins_denied", "requests_allowed", "requests_denied")
 
--- a/sumacloom/fleet/calls.py
+++ b/sumacloom/cli/calls.py
@@ -3,9 +3,9 @@
 import json
 import sys
 
-from ..common.results import Err, Ok, Result, exit_code, mishap
-from . import client
-from .tables import as_text
+from sumacloom.cli import client
+from sumacloom.cli.tables import as_text
+from sumacloom.errors import Err, Ok, Result, exit_code, mishap
 
 
 def finish(result: Result, show=None) -> int:
--- a/sumacloom/fleet/client.py
+++ b/sumacloom/cli/client.py
@@ -6,8 +6,8 @@
 import time
 from typing import NamedTuple
 
-from ..common.results import TABLE, Err, Ok, Result, mishap
-from ..common.settings import VARIABLE, parse_settings, split_address
+from sumacloom.errors import TABLE, Err, Ok, Result, mishap
+from sumacloom.settings import VARIABLE, parse_settings, split_address
 
 REGISTRARS = "SUMACLOOM_REGISTRARS"
 CALL_S = 2.0
--- a/sumacloom/fleet/commands.py
+++ b/sumacloom/cli/commands.py
@@ -5,11 +5,11 @@
 import time
 import urllib.parse
 
-from ..common.results import Err, Ok, Result, mishap
-from . import access, client, pooling
-from .calls import ask, finish, look, print_rows, table
-from .orders import listen, listeners, undo, unlisten
-from .tables import query as run_query
+from sumacloom.cli import access_commands, client, pool_mode_commands
+from sumacloom.cli.calls import ask, finish, look, print_rows, table
+from sumacloom.cli.fleet_commands import listen, listeners, undo, unlisten
+from sumacloom.cli.tables import query as run_query
+from sumacloom.errors import Err, Ok, Result, mishap
 
 
 def status(*, at: str = "", json: bool = False) -> int:
@@ -238,7 +238,7 @@
     >>> check_all(b"").err().name
     'unreadable'
     """
-    from ..registrar.check import find_mishaps
+    from sumacloom.configuration.checks import find_mishaps
 
     mishaps, model = find_mishaps(raw)
     for found in mishaps[:-1]:
@@ -343,12 +343,12 @@
     "blueprint": {"get": get, "check": check, "put": put},
     "undo": undo,
     "access": {
-        "set": access.set_list,
-        "show": access.show,
-        "check": access.check,
-        "counts": access.counts,
+        "set": access_commands.set_list,
+        "show": access_commands.show,
+        "check": access_commands.check,
+        "counts": access_commands.counts,
     },
-    "pooling": {"show": pooling.show, "set": pooling.set_mode},
+    "pooling": {"show": pool_mode_commands.show, "set": pool_mode_commands.set_mode},
     "listen": listen,
     "unlisten": unlisten,
     "listeners": listeners,
--- a/sumacloom/fleet/listening.py
+++ b/sumacloom/cli/feed_reader.py
@@ -9,8 +9,8 @@
 import time
 import urllib.parse
 
-from ..common.results import Err, Ok, Result, mishap
-from . import client
+from sumacloom.cli import client
+from sumacloom.errors import Err, Ok, Result, mishap
 
 
 def last_number(path: str) -> Result:
--- a/sumacloom/fleet/orders.py
+++ b/sumacloom/cli/fleet_commands.py
@@ -6,9 +6,9 @@
 import time
 import urllib.parse
 
-from ..common.results import Err, Ok, Result, mishap
-from . import client, listening
-from .calls import ask, finish, print_rows, table
+from sumacloom.cli import client, feed_reader
+from sumacloom.cli.calls import ask, finish, print_rows, table
+from sumacloom.errors import Err, Ok, Result, mishap
 
 
 def undo(*, generation: int = 0, at: str = "", wait: float = 15.0, without: list[str] = []) -> int:
@@ -91,7 +91,7 @@
     asked = ask(at, "POST", "/api/admin/listeners", dict, body)
     return finish(
         asked.and_then(lambda _row: await_listening(name, database, at, wait)).and_then(
-            lambda _row: listening.take_all(
+            lambda _row: feed_reader.take_all(
                 client.find_registrars(at).ok(), name, database, into, count, seconds
             )
         ),
@@ -157,7 +157,7 @@
     code = finish(rows, print_rows(json))
     if code:
         return code
-    behind, digests = listening.agreement(rows.ok())
+    behind, digests = feed_reader.agreement(rows.ok())
     if behind or len(digests) > 1:
         return finish(
             Err(
--- a/sumacloom/fleet/pooling.py
+++ b/sumacloom/cli/pool_mode_commands.py
@@ -2,8 +2,8 @@
 
 import json as json_library
 
-from ..common.results import Err, mishap
-from .calls import ask, finish, print_rows, table
+from sumacloom.cli.calls import ask, finish, print_rows, table
+from sumacloom.errors import Err, mishap
 
 
 def show(*, at: str = "", json: bool = False, nodes: bool = False, sessions: bool = False) -> int:
--- a/sumacloom/programs.py
+++ b/sumacloom/cli/programs.py
@@ -2,8 +2,8 @@
 
 import defopt
 
-from .daemon import run_daemon
-from .fleet.commands import COMMANDS
+from sumacloom.cli.commands import COMMANDS
+from sumacloom.daemon import run_daemon
 
 
 def counter(*, settings: str = "") -> int:
--- a/sumacloom/fleet/tables.py
+++ b/sumacloom/cli/tables.py
@@ -2,7 +2,7 @@
 
 import sqlite3
 
-from ..common.results import Err, Ok, Result, mishap
+from sumacloom.errors import Err, Ok, Result, mishap
 
 MOST_STEPS = 2_000_000
 
--- a/sumacloom/registrar/access_check.py
+++ b/sumacloom/configuration/access_checks.py
@@ -5,8 +5,8 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from ..common.access import ANY, DEFAULT, UNKNOWN
-from ..common.results import Err, Ok, Result, mishap
+from sumacloom.configuration.access_list import ANY, DEFAULT, UNKNOWN
+from sumacloom.errors import Err, Ok, Result, mishap
 
 MOST_BODY = 64 << 10
 MOST_RULES, MOST_NETWORKS = 512, 2048
--- a/sumacloom/registrar/check.py
+++ b/sumacloom/configuration/checks.py
@@ -5,8 +5,8 @@
 import msgspec
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from ..common.blueprint import decode_blueprint
-from ..common.results import Err, Ok, Result, mishap
+from sumacloom.configuration.model import decode_blueprint
+from sumacloom.errors import Err, Ok, Result, mishap
 
 MOST_VERSION = (1 << 62) - 1  # what the register's encoding holds, with room to undo
 
--- a/sumacloom/agreement/acceptor.py
+++ b/sumacloom/consensus/acceptor.py
@@ -5,9 +5,19 @@
 
 from typing import NamedTuple
 
-from ..common.types import NO_BALLOT, Ballot
-from .configuration import Configuration
-from .messages import Accept, Accepted, Copy, Prepare, Promise, Query, Reconfigured, Refused, Told
+from sumacloom.consensus.messages import (
+    Accept,
+    Accepted,
+    Copy,
+    Prepare,
+    Promise,
+    Query,
+    Reconfigured,
+    Refused,
+    Told,
+)
+from sumacloom.consensus.quorum import Configuration
+from sumacloom.types import NO_BALLOT, Ballot
 
 
 class Slot(NamedTuple):
--- a/sumacloom/agreement/contact.py
+++ b/sumacloom/consensus/contact.py
@@ -4,7 +4,7 @@
 its sender had heard last, so that contact is as old as that beat of ours, however late the answer is read.
 """
 
-from ..common.types import NO_BALLOT, Ballot
+from sumacloom.types import NO_BALLOT, Ballot
 
 CONTACT_S = (
     1.8  # two beats' intervals and the way there and back are 0.8 s or so; the rest is for delays
--- a/sumacloom/agreement/hearing.py
+++ b/sumacloom/consensus/handlers.py
@@ -1,9 +1,6 @@
 """What a registrar does with its peers' messages on registers and voters."""
 
-from ..common.logs import Scribe
-from ..common.results import mishap
-from ..common.types import NO_BALLOT, Ballot
-from .messages import (
+from sumacloom.consensus.messages import (
     Accept,
     Accepted,
     Copy,
@@ -18,6 +15,9 @@
     Tell,
     Told,
 )
+from sumacloom.errors import mishap
+from sumacloom.logs import Scribe
+from sumacloom.types import NO_BALLOT, Ballot
 
 scribe = Scribe("office")
 HEARERS = {}
@@ -83,11 +83,7 @@
 
 @hears(Prepare, Accept, Query)
 def hear_proposal(office, peer: str, message, now: float) -> None:
-    """A proposal of a peer asks for our vote.
-
-    >>> HEARERS[Accept] is hear_proposal
-    True
-    """
+    """A proposal of a peer asks for our vote."""
     if not isinstance(message, Query):
         office.ballots.saw(message.ballot)
     office.vote(peer, message)
@@ -95,11 +91,7 @@
 
 @hears(Promise, Accepted, Refused, Copy)
 def hear_vote(office, peer: str, message, now: float) -> None:
-    """A vote on one of our proposals.
-
-    >>> HEARERS[Promise] is hear_vote
-    True
-    """
+    """A vote on one of our proposals."""
     for proposal in [proposal for proposal in office.proposals if proposal.key == message.key]:
         office.post(proposal.hear(peer, message, now), now)
         office.conclude(proposal, now)
@@ -107,11 +99,7 @@
 
 @hears(Decided)
 def hear_decided(office, peer: str, message, now: float) -> None:
-    """A peer knows a value to be decided; it is taken from our own copy, or asked for.
-
-    >>> HEARERS[Decided] is hear_decided
-    True
-    """
+    """A peer knows a value to be decided; it is taken from our own copy, or asked for."""
     slot = office.acceptor.slot(message.key)
     if slot.accepted == message.ballot:
         office.settle(message.key, message.ballot, slot.value, now)
@@ -121,32 +109,20 @@
 
 @hears(Fetch)
 def hear_fetch(office, peer: str, message, now: float) -> None:
-    """A peer lacks a decided value.
-
-    >>> HEARERS[Fetch] is hear_fetch
-    True
-    """
+    """A peer lacks a decided value."""
     if message.key in office.decided:
         office.outbox.append((peer, Settled(message.key, *office.decided[message.key])))
 
 
 @hears(Settled)
 def hear_settled(office, peer: str, message, now: float) -> None:
-    """A decided value that we lacked.
-
-    >>> HEARERS[Settled] is hear_settled
-    True
-    """
+    """A decided value that we lacked."""
     office.settle(message.key, message.ballot, message.value, now)
 
 
 @hears(Reconfigured)
 def hear_configuration(office, peer: str, message, now: float) -> None:
-    """A peer counts by other voters: we take the newer ones, or tell ours.
-
-    >>> HEARERS[Reconfigured] is hear_configuration
-    True
-    """
+    """A peer counts by other voters: we take the newer ones, or tell ours."""
     ours = office.acceptor.configuration
     if (
         message.configuration.generation == ours.generation
@@ -172,11 +148,7 @@
 
 @hears(Tell)
 def hear_tell(office, peer: str, message, now: float) -> None:
-    """A voter without memory asks for everything, and for a promise that holds for every key.
-
-    >>> HEARERS[Tell] is hear_tell
-    True
-    """
+    """A voter without memory asks for everything, and for a promise that holds for every key."""
     barrier = Ballot(*message.barrier)
     office.ballots.saw(barrier)
     floor = office.acceptor.floor
@@ -190,11 +162,7 @@
 
 @hears(Told)
 def hear_told(office, peer: str, message, now: float) -> None:
-    """What another voter holds; with enough of them we vote again, as a new incarnation.
-
-    >>> HEARERS[Told] is hear_told
-    True
-    """
+    """What another voter holds; with enough of them we vote again, as a new incarnation."""
     acceptor = office.acceptor
     if acceptor.learned:
         return
--- a/sumacloom/agreement/messages.py
+++ b/sumacloom/consensus/messages.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
-from ..common.types import NO_BALLOT, Ballot
-from .configuration import Configuration
+from sumacloom.consensus.quorum import Configuration
+from sumacloom.types import NO_BALLOT, Ballot
 
 
 class Message(msgspec.Struct, array_like=True, tag=True):
--- a/sumacloom/agreement/node.py
+++ b/sumacloom/consensus/node.py
@@ -4,19 +4,19 @@
 ledger before a reply is put there. What a decided value means is for whoever builds on it: see `take`.
 """
 
-from ..common.logs import Scribe
-from ..common.results import Err, mishap
-from ..common.settings import Settings, split_address
-from ..common.types import NO_BALLOT, Ballot
-from . import membership, storage
-from .configuration import Configuration
-from .contact import Contact
-from .disk import OnDisk
-from .hearing import HEARERS, KNOWN_S, is_credible
-from .messages import Decided, Prepare, Tell
-from .proposer import Ballots, Proposal
-from .storage import Storage
-from .values import KEYS, decode, keep
+from sumacloom.consensus import reconfiguration, storage
+from sumacloom.consensus.contact import Contact
+from sumacloom.consensus.handlers import HEARERS, KNOWN_S, is_credible
+from sumacloom.consensus.messages import Decided, Prepare, Tell
+from sumacloom.consensus.persistence import OnDisk
+from sumacloom.consensus.proposal import Ballots, Proposal
+from sumacloom.consensus.quorum import Configuration
+from sumacloom.consensus.storage import Storage
+from sumacloom.controller.registers.values import KEYS, decode, keep
+from sumacloom.errors import Err, mishap
+from sumacloom.logs import Scribe
+from sumacloom.settings import Settings, split_address
+from sumacloom.types import NO_BALLOT, Ballot
 
 scribe = Scribe("office")
 ALIVE_S = 1.1
@@ -54,7 +54,7 @@
 
     def take(self, key: str, value: bytes, now: float) -> None:
         """Puts a decided value to use here; whoever builds on this adds its own keys."""
-        if key == membership.KEY:
+        if key == reconfiguration.KEY:
             self.take_configuration(decode(Configuration, value), now)
 
     def keys(self) -> list[str]:
@@ -280,7 +280,7 @@
         if self.acceptor.learned and now - self.finished_at >= FINISH_S:
             self.finished_at = now
             self.finish_undecided(now)
-        membership.mind_voters(self, now)
+        reconfiguration.mind_voters(self, now)
 
     def ask(self, now: float) -> None:
         """Without memory: asks all others for what they hold, and for a promise against all that was before."""
--- a/sumacloom/agreement/disk.py
+++ b/sumacloom/consensus/persistence.py
@@ -1,6 +1,6 @@
 """What a node puts on its disk, and how it opens what the disk kept."""
 
-from . import storage
+from sumacloom.consensus import storage
 
 
 class OnDisk:
--- a/sumacloom/agreement/proposer.py
+++ b/sumacloom/consensus/proposal.py
@@ -6,10 +6,10 @@
 import math
 import random
 
-from ..common.results import Err, Ok, mishap
-from ..common.types import NO_BALLOT, Ballot
-from .configuration import Configuration
-from .messages import Accept, Copy, Prepare, Promise, Query, Refused
+from sumacloom.consensus.messages import Accept, Copy, Prepare, Promise, Query, Refused
+from sumacloom.consensus.quorum import Configuration
+from sumacloom.errors import Err, Ok, mishap
+from sumacloom.types import NO_BALLOT, Ballot
 
 RESEND_S = 0.1
 RENEW_S = 0.4  # a second round that lasts so long begins anew where a voter asked late tells of something newer
--- a/sumacloom/agreement/membership.py
+++ b/sumacloom/consensus/reconfiguration.py
@@ -5,10 +5,10 @@
 alone can end any more. Settled: the new alone. Any voter can take up what another left unfinished.
 """
 
-from ..common.logs import Scribe
-from ..common.results import Err, Ok, mishap
-from .configuration import FIRST, Configuration
-from .values import KEYS, decode, encode
+from sumacloom.consensus.quorum import FIRST, Configuration
+from sumacloom.controller.registers.values import KEYS, decode, encode
+from sumacloom.errors import Err, Ok, mishap
+from sumacloom.logs import Scribe
 
 scribe = Scribe("voters")
 KEY = "voters"
@@ -227,7 +227,7 @@
     stages = (
         [KEY],
         [key for key in KEYS if key != KEY],
-        [key for key in office if key not in KEYS],
+        [key for key in office.keys() if key not in KEYS],  # noqa: SIM118 - not a mapping
     )  # the listeners name the feeds
     if move.stage < len(stages):
         keys = stages[move.stage]
--- a/sumacloom/agreement/storage.py
+++ b/sumacloom/consensus/storage.py
@@ -9,11 +9,11 @@
 
 import msgspec
 
-from ..common.logs import Scribe
-from ..common.results import Err, Ok, mishap
-from ..common.types import NO_BALLOT, Ballot
-from .acceptor import Acceptor, Slot
-from .configuration import Configuration
+from sumacloom.consensus.acceptor import Acceptor, Slot
+from sumacloom.consensus.quorum import Configuration
+from sumacloom.errors import Err, Ok, mishap
+from sumacloom.logs import Scribe
+from sumacloom.types import NO_BALLOT, Ballot
 
 scribe = Scribe("office")
 FIRST_PAUSE_S, MOST_PAUSE_S = 1.0, 30.0  # between tries of a snapshot that the disk refuses
@@ -56,7 +56,7 @@
 class Storage:
     """The writes of one registrar, in their order.
 
-    >>> import tempfile; from sumacloom.ledger.log import Ledger
+    >>> import tempfile; from sumacloom.wal.log import Ledger
     >>> storage = Storage(Ledger(tempfile.mkdtemp()), prompt=False); storage.write([b"one"]); storage.hold("b", "reply")
     True
     >>> batches = storage.take(); storage.sync(batches); storage.written(batches)
@@ -111,7 +111,7 @@
     def snapshot_due(self, now: float) -> bool:
         """Whether the log is to be replaced by a snapshot now; after a refusal only some time later, unless all waits for it.
 
-        >>> import tempfile; from sumacloom.ledger.log import Ledger
+        >>> import tempfile; from sumacloom.wal.log import Ledger
         >>> Storage(Ledger(tempfile.mkdtemp())).snapshot_due(0.0), Storage(Ledger(tempfile.mkdtemp(), 0)).snapshot_due(0.0)
         (False, True)
         """
@@ -254,7 +254,7 @@
 ) -> list[bytes]:
     """What an acceptor just opened becomes: a first start, or a voter that must learn. Gives records to write.
 
-    >>> from sumacloom.common.settings import Settings
+    >>> from sumacloom.settings import Settings
     >>> acceptor = Acceptor(Configuration(0, (), ()), 0, learned=False)
     >>> len(after_start(acceptor, Settings("n", "r", "a", "z", bootstrap=True), ["a"], 7, True)), acceptor.configuration.new
     (2, ('a',))
--- a/sumacloom/registrar/access_calls.py
+++ b/sumacloom/controller/admin/access_calls.py
@@ -2,14 +2,14 @@
 
 import urllib.parse
 
-from ..agreement.values import decode
-from ..common.access import Access
-from ..common.blueprint import pack_blueprint
-from ..common.http import Reply, Request, json_reply, mishap_reply
-from ..common.results import mishap
-from . import access, rollout
-from .admin import gather
-from .ctl import read_base, serves
+from sumacloom.configuration.access_list import Access
+from sumacloom.configuration.model import pack_blueprint
+from sumacloom.controller.admin.routes import read_base, serves
+from sumacloom.controller.admin.tables import gather
+from sumacloom.controller.policy import access, staged_rollout
+from sumacloom.controller.registers.values import decode
+from sumacloom.errors import mishap
+from sumacloom.http import Reply, Request, json_reply, mishap_reply
 
 
 def current(office) -> Access | None:
@@ -21,7 +21,9 @@
 @serves("PUT", r"/api/admin/access")
 async def put_access(shell, request: Request) -> Reply:
     """Offers a list built on the generation in If-Match; it comes into force once no older lease can stand."""
-    from .access_check import check_access  # pydantic is slow to import: only where lists arrive
+    from sumacloom.configuration.access_checks import (
+        check_access,  # pydantic is slow to import: only where lists arrive
+    )
 
     checked = check_access(request.body, {*shell.settings.zones.values()})
     if checked.is_err():
@@ -33,7 +35,7 @@
                 "match_missing", "If-Match must carry the generation built on, 0 for the first list"
             )
         )
-    change = rollout.offer(access.AccessValue, pack_blueprint(request.body), b"", base)
+    change = staged_rollout.offer(access.AccessValue, pack_blueprint(request.body), b"", base)
     result = await shell.decide(access.KEY, change)
     if result.is_err():
         return mishap_reply(result.err())
--- a/sumacloom/registrar/ctl.py
+++ b/sumacloom/controller/admin/routes.py
@@ -2,9 +2,15 @@
 
 import re
 
-from ..agreement.values import BlueprintValue, decode, evacuate, keep, put_blueprint
-from ..common.http import Reply, Request, json_reply, mishap_reply
-from ..common.results import Err, mishap
+from sumacloom.controller.registers.values import (
+    BlueprintValue,
+    decode,
+    evacuate,
+    keep,
+    put_blueprint,
+)
+from sumacloom.errors import Err, mishap
+from sumacloom.http import Reply, Request, json_reply, mishap_reply
 
 PATHS = []
 BEATS = "/api/instances/"
@@ -124,7 +130,9 @@
     """The operator's blueprint: checked here, decided at a majority."""
     if len(request.body) > shell.most_blueprint:
         return mishap_reply(mishap("too_large"))
-    from .check import check_blueprint  # pydantic is slow to import: only where blueprints arrive
+    from sumacloom.configuration.checks import (
+        check_blueprint,  # pydantic is slow to import: only where blueprints arrive
+    )
 
     checked = check_blueprint(request.body)
     if checked.is_err():
--- a/sumacloom/registrar/listening.py
+++ b/sumacloom/controller/admin/subscriber_calls.py
@@ -5,13 +5,13 @@
 
 import curio
 
-from ..agreement.values import decode
-from ..common.http import Reply, Request, json_reply, mishap_reply
-from ..common.results import Err, Ok, Result, mishap
-from ..courier.board import list_digest
-from . import listeners
-from .ctl import decide_at_once, serves
-from .feed import acknowledge
+from sumacloom.controller.admin.routes import decide_at_once, serves
+from sumacloom.controller.delivery import subscribers
+from sumacloom.controller.delivery.feed import acknowledge
+from sumacloom.controller.registers.values import decode
+from sumacloom.errors import Err, Ok, Result, mishap
+from sumacloom.http import Reply, Request, json_reply, mishap_reply
+from sumacloom.transport.update_cache import list_digest
 
 LATER = (("Retry-After", "2"),)
 STEP_S = 0.05
@@ -91,10 +91,12 @@
     if read.is_err():
         return refuse(read.err())
     name, database, token = read.ok()
-    result = await order(shell, listeners.KEY, listeners.subscribe(name, database, token), request)
+    result = await order(
+        shell, subscribers.KEY, subscribers.subscribe(name, database, token), request
+    )
     if result.is_err():
         return refuse(result.err())
-    value = decode(listeners.Listeners, result.ok()[1])
+    value = decode(subscribers.Listeners, result.ok()[1])
     row = value.find(name, database)
     return json_reply(
         200,
@@ -111,7 +113,7 @@
 async def delete_listener(shell, request: Request, database: str, name: str) -> Reply:
     """Ends a listener by a recorded order."""
     result = await order(
-        shell, listeners.KEY, listeners.unsubscribe(name, database, "asked"), request
+        shell, subscribers.KEY, subscribers.unsubscribe(name, database, "asked"), request
     )
     if result.is_err():
         return refuse(result.err())
@@ -142,10 +144,10 @@
 
 def standing(office, name: str, database: str) -> Result:
     """Whether a listener may take: Ok(its row), or why not."""
-    row = listeners.held(office).find(name, database)
+    row = subscribers.held(office).find(name, database)
     if row is None:
         return Err(mishap("no_listener", f"nobody called '{name}' listens to '{database}'"))
-    feed = listeners.feed_of(office, database)
+    feed = subscribers.feed_of(office, database)
     missed = feed.lapsed.get(name, row.missed if row.state == "lapsed" else None)
     if missed is not None:
         return Err(
@@ -162,9 +164,9 @@
     if query.is_err() or row.is_err():
         return refuse(query.err() if query.is_err() else row.err())
     cursor, wait, most = query.ok()
-    key, cutoff = listeners.FEEDS + database, shell.now() + wait
+    key, cutoff = subscribers.FEEDS + database, shell.now() + wait
     while True:
-        row, feed = standing(office, name, database), listeners.feed_of(office, database)
+        row, feed = standing(office, name, database), subscribers.feed_of(office, database)
         if row.is_err():
             return refuse(row.err())
         acknowledged = feed.cursors.get(name)
@@ -172,7 +174,7 @@
             result = await order(shell, key, acknowledge(name, cursor))
             if result.is_err():
                 return refuse(result.err())
-            feed = listeners.feed_of(office, database)
+            feed = subscribers.feed_of(office, database)
         start = cursor or acknowledged or 0
         items = (
             [item for item in feed.items if item.number >= start][:most]
@@ -197,8 +199,8 @@
 def list_rows(office, now: float) -> list[dict]:
     """The listeners, how far each is, and whom a joining one waits for."""
     rows = []
-    for row in listeners.held(office).rows:
-        feed = listeners.feed_of(office, row.database)
+    for row in subscribers.held(office).rows:
+        feed = subscribers.feed_of(office, row.database)
         cursor = feed.cursors.get(row.name)
         waits = office.members.unaware(row.since, now) if row.state == "joining" else []
         rows.append(
--- a/sumacloom/registrar/admin.py
+++ b/sumacloom/controller/admin/tables.py
@@ -7,15 +7,17 @@
 
 import curio
 
-from ..agreement import membership
-from ..agreement.values import decode
-from ..common.http import Reply, Request, json_reply, mishap_reply
-from ..common.logs import LEVELS, Scribe, set_level
-from ..common.results import mishap
-from ..common.types import NO_BALLOT
-from ..courier.messages import Inquire, Level, Part
-from . import duties, lanes, listening, pooling, undo
-from .ctl import decide_at_once, serves
+from sumacloom.consensus import reconfiguration
+from sumacloom.controller.admin import subscriber_calls, undo_calls
+from sumacloom.controller.admin.routes import decide_at_once, serves
+from sumacloom.controller.failover import lease
+from sumacloom.controller.policy import pool_modes, priority
+from sumacloom.controller.registers.values import decode
+from sumacloom.errors import mishap
+from sumacloom.http import Reply, Request, json_reply, mishap_reply
+from sumacloom.logs import LEVELS, Scribe, set_level
+from sumacloom.transport.messages import Inquire, Level, Part
+from sumacloom.types import NO_BALLOT
 
 scribe = Scribe("admin")
 GATHER_S = 0.6
@@ -67,7 +69,7 @@
                 "evacuations": digest.evacuations,
                 "hears": ",".join(peer for peer in office.others() if office.alive(peer, now)),
                 "plans": ",".join(f"{name}:{plan}" for name, plan in sorted(shell.plans.items())),
-                **membership.rows(office, node, now),
+                **reconfiguration.rows(office, node, now),
                 "view": "majority" if office.settled(now) else "own",
                 "alone_ms": round(1000 * shell.unsettled_s()),
                 "lacks": ",".join(office.lacking(now)),
@@ -83,7 +85,7 @@
                 if key in office.acceptor.slots
                 else "-",
             }
-            for key in office
+            for key in office.keys()  # noqa: SIM118 - a method of the core, not a mapping
         ],
         "members": [
             {
@@ -96,9 +98,11 @@
             for name, (zone, address, heard, *_held) in sorted(office.members.sessions.items())
         ],
         "counters": [report["counter"] for report in reports],
-        "listening": listening.node_rows(office, node, reports),
-        "generations": undo.own_rows(office, node, reports, list(office.members.sessions), now),
-        "poolers": pooling.node_rows(office, node, reports),
+        "listening": subscriber_calls.node_rows(office, node, reports),
+        "generations": undo_calls.own_rows(
+            office, node, reports, list(office.members.sessions), now
+        ),
+        "poolers": pool_modes.node_rows(office, node, reports),
         "sharing": [row for report in reports for row in report.get("sharing", [])],
         "access": [row for report in reports for row in report.get("access", [])],
         "rotation": [row for report in reports for row in report["rotation"]],
@@ -138,15 +142,15 @@
         ],
         "duties": [
             {
-                "duty": duties.DUTY,
+                "duty": lease.DUTY,
                 "holder": duty.holder if duty else "",
                 "fence": duty.fence if duty else 0,
-                "vacant": duties.vacant(office, now),
+                "vacant": lease.vacant(office, now),
             }
         ],
         "lanes": lane_rows(office, now),
-        "pooling": pooling.own_rows(office),
-        "listeners": listening.list_rows(office, now),
+        "pooling": pool_modes.own_rows(office),
+        "listeners": subscriber_calls.list_rows(office, now),
         "zones": [
             {"zone": zone, "region": region, "evacuated": zone in office.board.zones}
             for zone, region in sorted(shell.settings.zones.items())
@@ -210,7 +214,7 @@
         for peer in unheard
     ]
     for name in ("generations", "listening", "poolers"):
-        tables[name] = undo.one_per_node(tables[name], unheard)
+        tables[name] = undo_calls.one_per_node(tables[name], unheard)
     return {**tables, **shared_part(shell)}
 
 
@@ -272,7 +276,7 @@
         databases = None
     if (
         not isinstance(databases, list)
-        or len(databases) > lanes.MOST_LANES
+        or len(databases) > priority.MOST_LANES
         or not all(isinstance(name, str) and name and " " not in name for name in databases)
     ):
         return mishap_reply(mishap("bad_request", 'the body must be {"databases": [names]}'))
@@ -283,10 +287,10 @@
         return mishap_reply(
             mishap("unknown_database", f"the blueprint has no database '{unknown[0]}'")
         )
-    result = await decide_at_once(shell, request, lanes.KEY, lanes.offer(databases))
+    result = await decide_at_once(shell, request, priority.KEY, priority.offer(databases))
     if result.is_err():
         return mishap_reply(result.err())
-    value = decode(lanes.LanesValue, result.ok()[1])
+    value = decode(priority.LanesValue, result.ok()[1])
     return json_reply(
         200,
         {
--- a/sumacloom/registrar/undo.py
+++ b/sumacloom/controller/admin/undo_calls.py
@@ -2,12 +2,12 @@
 
 import json
 
-from ..agreement.values import BlueprintValue, decode, undo_blueprint
-from ..common.http import Reply, Request, json_reply, mishap_reply
-from ..common.logs import Scribe
-from ..common.results import mishap
-from ..courier.board import body_digest
-from .ctl import serves
+from sumacloom.controller.admin.routes import serves
+from sumacloom.controller.registers.values import BlueprintValue, decode, undo_blueprint
+from sumacloom.errors import mishap
+from sumacloom.http import Reply, Request, json_reply, mishap_reply
+from sumacloom.logs import Scribe
+from sumacloom.transport.update_cache import body_digest
 
 scribe = Scribe("undo")
 
--- a/sumacloom/registrar/taking.py
+++ b/sumacloom/controller/committed_values.py
@@ -1,11 +1,18 @@
 """What a registrar does with a decided value, key by key."""
 
-from ..agreement import membership
-from ..agreement.values import BlueprintValue, DutyValue, EvacuationsValue, decode
-from ..common.logs import Scribe
-from ..courier.messages import Configuration, News
-from . import access, duties, lanes, listeners, pooling
-from .feed import Feed
+from sumacloom.consensus import reconfiguration
+from sumacloom.controller.delivery import subscribers
+from sumacloom.controller.delivery.feed import Feed
+from sumacloom.controller.failover import lease
+from sumacloom.controller.policy import access, pool_modes, priority
+from sumacloom.controller.registers.values import (
+    BlueprintValue,
+    DutyValue,
+    EvacuationsValue,
+    decode,
+)
+from sumacloom.logs import Scribe
+from sumacloom.transport.messages import Configuration, News
 
 scribe = Scribe("office")
 TAKERS = {}
@@ -29,17 +36,13 @@
     """Puts a decided value to use here."""
     if key in TAKERS:
         TAKERS[key](office, value, now)
-    elif key.startswith(listeners.FEEDS):
-        office.spool.sweep(key.removeprefix(listeners.FEEDS), decode(Feed, value))
+    elif key.startswith(subscribers.FEEDS):
+        office.spool.sweep(key.removeprefix(subscribers.FEEDS), decode(Feed, value))
 
 
 @takes("blueprint")
 def take_blueprint(office, value: bytes, now: float) -> None:
-    """A blueprint is in force.
-
-    >>> TAKERS["blueprint"] is take_blueprint
-    True
-    """
+    """A blueprint is in force."""
     found = decode(BlueprintValue, value)
     if office.board.take(News(found.packed, 0, None, None)):
         restores = f", it restores {found.restores}" if found.restores else ""
@@ -48,23 +51,15 @@
 
 @takes("evacuations")
 def take_evacuations(office, value: bytes, now: float) -> None:
-    """Zones are emptied or taken back.
-
-    >>> TAKERS["evacuations"] is take_evacuations
-    True
-    """
+    """Zones are emptied or taken back."""
     found = decode(EvacuationsValue, value)
     if office.board.take(News(None, found.generation, found.zones, None)):
         scribe.say("the evacuated zones are now: %s", ", ".join(found.zones) or "none")
 
 
-@takes(duties.DUTY)
+@takes(lease.DUTY)
 def take_duty(office, value: bytes, now: float) -> None:
-    """The duty has a holder.
-
-    >>> TAKERS[duties.DUTY] is take_duty
-    True
-    """
+    """The duty has a holder."""
     found = decode(DutyValue, value)
     if office.duty is None or found.fence >= office.duty.fence:
         if found != office.duty:
@@ -80,24 +75,16 @@
         office.duty = found
 
 
-@takes(membership.KEY)
+@takes(reconfiguration.KEY)
 def take_voters(office, value: bytes, now: float) -> None:
-    """Others vote.
-
-    >>> TAKERS[membership.KEY] is take_voters
-    True
-    """
+    """Others vote."""
     office.take_configuration(decode(Configuration, value), now)
 
 
-@takes(lanes.KEY)
+@takes(priority.KEY)
 def take_lanes(office, value: bytes, now: float) -> None:
-    """A lane is offered or in force.
-
-    >>> TAKERS[lanes.KEY] is take_lanes
-    True
-    """
-    found = decode(lanes.LanesValue, value)
+    """A lane is offered or in force."""
+    found = decode(priority.LanesValue, value)
     office.lanes_at = now
     if office.board.take(News(None, 0, None, None, found.news())):
         stage = "in force" if found.in_force else "offered"
@@ -108,11 +95,7 @@
 
 @takes(access.KEY)
 def take_access(office, value: bytes, now: float) -> None:
-    """An access list is offered or in force.
-
-    >>> TAKERS[access.KEY] is take_access
-    True
-    """
+    """An access list is offered or in force."""
     found = decode(access.AccessValue, value)
     if office.board.take(News(None, 0, None, None, access=found.news())):
         office.readings.offered_at = now
@@ -123,14 +106,10 @@
         )
 
 
-@takes(pooling.KEY)
+@takes(pool_modes.KEY)
 def take_pooling(office, value: bytes, now: float) -> None:
-    """Sessions are judged anew.
-
-    >>> TAKERS[pooling.KEY] is take_pooling
-    True
-    """
-    found = decode(pooling.PoolValue, value)
+    """Sessions are judged anew."""
+    found = decode(pool_modes.PoolValue, value)
     before = office.board.pooling
     if office.board.take(News(None, 0, None, None, pooling=found.news())):
         scribe.say(
@@ -140,14 +119,10 @@
         )
 
 
-@takes(listeners.KEY)
+@takes(subscribers.KEY)
 def take_listeners(office, value: bytes, now: float) -> None:
-    """The list of listeners has changed.
-
-    >>> TAKERS[listeners.KEY] is take_listeners
-    True
-    """
-    found = decode(listeners.Listeners, value)
+    """The list of listeners has changed."""
+    found = decode(subscribers.Listeners, value)
     if office.board.take(News(None, 0, None, None, None, found.news())):
         scribe.say(
             "the listeners %d: %s",
--- a/sumacloom/registrar/office.py
+++ b/sumacloom/controller/core.py
@@ -4,16 +4,19 @@
 synced by the ledger before a reply is put there.
 """
 
-from ..agreement import storage
-from ..agreement.node import Node
-from ..common.logs import Scribe
-from ..common.settings import Settings
-from ..courier.board import Board
-from ..courier.messages import PeerBeat
-from . import access, duties, hearing, lanes, listeners, pooling, taking  # noqa: F401  (hearing registers handlers)
-from .members import Members
-from .roster import Roster
-from .spool import Spool, mind_spool
+from sumacloom.consensus import storage
+from sumacloom.consensus.node import Node
+from sumacloom.controller import committed_values, peer_heartbeats  # noqa: F401  (peer_heartbeats registers handlers)
+from sumacloom.controller.delivery import subscribers
+from sumacloom.controller.delivery.log import Spool, mind_spool
+from sumacloom.controller.failover import lease
+from sumacloom.controller.policy import access, pool_modes, priority
+from sumacloom.controller.registry.backends import Roster
+from sumacloom.controller.registry.members import Members
+from sumacloom.logs import Scribe
+from sumacloom.settings import Settings
+from sumacloom.transport.messages import PeerBeat
+from sumacloom.transport.update_cache import Board
 
 scribe = Scribe("office")
 PEER_BEAT_S = 0.35
@@ -45,11 +48,11 @@
 
     def take(self, key: str, value: bytes, now: float) -> None:
         """Puts a decided value to use here."""
-        taking.take(self, key, value, now)
+        committed_values.take(self, key, value, now)
 
     def keys(self) -> list[str]:
         """The keys of all registers that are in use."""
-        return [*super().keys(), *listeners.keys(self)]
+        return [*super().keys(), *subscribers.keys(self)]
 
     def whole(self) -> list[bytes]:
         """Everything, as a snapshot holds it."""
@@ -118,10 +121,10 @@
             self.tell_records(self.roster.sweep(now), now)
         self.tick_agreement(now)
         if self.votes and "failover" in self.settings.cloud.jobs:
-            duties.mind_duty(self, now)
-            lanes.mind_lanes(self, now)
+            lease.mind_duty(self, now)
+            priority.mind_lanes(self, now)
             access.mind_access(self, now)
-            listeners.mind_listeners(self, now)
-        pooling.mind_pooling(self, now)
+            subscribers.mind_listeners(self, now)
+        pool_modes.mind_pooling(self, now)
         mind_spool(self, now)
         self.keep_roster(now)
--- a/sumacloom/registrar/feed.py
+++ b/sumacloom/controller/delivery/feed.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
-from ..agreement.values import decode, encode
-from ..common.results import Err, Ok, mishap
+from sumacloom.controller.registers.values import decode, encode
+from sumacloom.errors import Err, Ok, mishap
 
 MOST_ITEMS, MOST_BYTES = 1000, 256 << 10
 MOST_LIVES = 512
--- a/sumacloom/registrar/spool.py
+++ b/sumacloom/controller/delivery/log.py
@@ -7,12 +7,12 @@
 
 import zlib
 
-from ..agreement import membership
-from ..agreement.hearing import hears
-from ..common.logs import Scribe
-from ..courier.messages import Held, Intent, Noted, Spare, SpareHeld, Verdict
-from . import listeners
-from .feed import append
+from sumacloom.consensus import reconfiguration
+from sumacloom.consensus.handlers import hears
+from sumacloom.controller.delivery import subscribers
+from sumacloom.controller.delivery.feed import append
+from sumacloom.logs import Scribe
+from sumacloom.transport.messages import Held, Intent, Noted, Spare, SpareHeld, Verdict
 
 scribe = Scribe("spool")
 SPARE_S = 0.2  # how long one spare is waited for while a counter waits, then the next is asked
@@ -160,7 +160,7 @@
 
 def may_leave(office, now: float) -> bool:
     """Whether a registrar that is being stopped may end, as far as voters and spool go."""
-    return membership.may_go(office, now) and (not spares(office, now) or not unhanded(office))
+    return reconfiguration.may_go(office, now) and (not spares(office, now) or not unhanded(office))
 
 
 def take_verdict(office, client: str, message: Verdict, now: float) -> None:
@@ -170,7 +170,7 @@
     counter, which lives on, had already forgotten it.
     """
     spool, key = office.spool, place_of(message)
-    seen = listeners.feed_of(office, message.database).has(message.life, message.number)
+    seen = subscribers.feed_of(office, message.database).has(message.life, message.number)
     if not seen:
         entry = spool.entries.get(key)
         if entry is None:
@@ -213,7 +213,7 @@
 def take_spare(office, peer: str, message, now: float) -> None:
     """Another registrar's copy."""
     spool, key = office.spool, place_of(message)
-    if not listeners.feed_of(office, message.database).has(message.life, message.number):
+    if not subscribers.feed_of(office, message.database).has(message.life, message.number):
         held = spool.entries.get(key)
         entry = spool.entries.setdefault(key, Entry(message.node, message.text, "", True, now))
         fresh = held is None or (message.kind and message.kind != held.kind)
@@ -260,9 +260,9 @@
         kind = ripe(office, key, entry, lives, now)
         if kind:
             batches.setdefault(key[1], []).append((key[0], key[2], entry.text, kind))
-    listened = listeners.held(office).feeds
+    listened = subscribers.held(office).feeds
     for database, entries in batches.items():
-        feed_key = listeners.FEEDS + database
+        feed_key = subscribers.FEEDS + database
         if database not in listened:
             spool.drop([(life, database, number) for life, number, *_rest in entries])
         elif now - spool.appended_at.get(database, -1e9) >= APPEND_EVERY_S and not any(
--- a/sumacloom/registrar/listeners.py
+++ b/sumacloom/controller/delivery/subscribers.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from ..agreement.values import decode, encode
-from ..common.logs import Scribe
-from ..common.results import Err, Ok, mishap
-from ..courier.news import ListenNews
-from . import duties
-from .feed import Feed, join, leave
+from sumacloom.controller.delivery.feed import Feed, join, leave
+from sumacloom.controller.failover import lease
+from sumacloom.controller.registers.values import decode, encode
+from sumacloom.errors import Err, Ok, mishap
+from sumacloom.logs import Scribe
+from sumacloom.transport.updates import ListenNews
 
 scribe = Scribe("listeners")
 KEY = "listeners"
@@ -139,7 +139,7 @@
 def mind_listeners(office, now: float) -> None:
     """As holder of the duty: takes listeners in, one step at a time; ends lapsed ones and forgets the ended."""
     value = held(office)
-    if not value.feeds or not duties.holds_duty(office, now) or not office.settled(now):
+    if not value.feeds or not lease.holds_duty(office, now) or not office.settled(now):
         return
     busy = {proposal.key for proposal in office.proposals}
     for row in value.rows:
--- a/sumacloom/registrar/syncing.py
+++ b/sumacloom/controller/disk_writer.py
@@ -2,8 +2,8 @@
 
 import curio
 
-from ..agreement.storage import FIRST_PAUSE_S
-from ..common.logs import Scribe
+from sumacloom.consensus.storage import FIRST_PAUSE_S
+from sumacloom.logs import Scribe
 
 scribe = Scribe("registrar")
 DISK_PAUSE_S = 0.25
--- a/sumacloom/registrar/errands.py
+++ b/sumacloom/controller/failover/executor.py
@@ -4,15 +4,24 @@
 
 import curio
 
-from ..agreement.values import claim_duty
-from ..common.http import call
-from ..common.lines import LineSplitter, encode
-from ..common.logs import Scribe
-from ..common.settings import split_address
-from ..courier.links import dial
-from ..courier.messages import Pending
-from . import duties, tenure
-from .failover import Announce, Ask, Fence, Look, Promote, Rest, Row, read_row
+from sumacloom.controller.failover import lease, lease_confirmation
+from sumacloom.controller.failover.plans import (
+    Announce,
+    Ask,
+    Fence,
+    Look,
+    Promote,
+    Rest,
+    Row,
+    read_row,
+)
+from sumacloom.controller.registers.values import claim_duty
+from sumacloom.http import call
+from sumacloom.line_protocol import LineSplitter, encode
+from sumacloom.logs import Scribe
+from sumacloom.settings import split_address
+from sumacloom.transport.link import dial
+from sumacloom.transport.messages import Pending
 
 scribe = Scribe("failover")
 ASK_CUTOFF_S = 0.7
@@ -65,11 +74,7 @@
 async def run_ask(
     shell, command: Ask, _holding=None, cutoff_s: float = ASK_CUTOFF_S
 ) -> Row | str | None:
-    """One text for one backend: its row, an error code, REFUSED if nothing listens there, or None for silence.
-
-    >>> RUNNERS[Ask] is run_ask
-    True
-    """
+    """One text for one backend: its row, an error code, REFUSED if nothing listens there, or None for silence."""
     address, started = split_address(command.backend.address), shell.now()
     try:
         async with curio.timeout_after(cutoff_s):
@@ -115,16 +120,13 @@
 
 
 @runs(Promote)
-async def run_promote(shell, command: Promote, holding: tenure.Holding) -> int | None:
+async def run_promote(shell, command: Promote, holding: lease_confirmation.Holding) -> int | None:
     """Tells the platform which backend takes over; the status, 0 for silence, None if the call never left.
 
     The duty is read at a majority while the connection is made, unless the plan began by a young reading; how old that reading is, and that the duty is still the
     plan's, is looked at once both are there, and nothing waits between that look and the call.
     From the moment it leaves the call counts as one that may yet land, until a clear answer is read: also where the
     plan ends meanwhile. The next plan then begins with a higher fence than that call's.
-
-    >>> RUNNERS[Promote] is run_promote
-    True
     """
     address = split_address(shell.settings.cloud.addr)
     headers = (("X-Holder", shell.settings.node), ("X-Fence", str(holding.duty.fence)))
@@ -132,17 +134,17 @@
     left = []
 
     async def dial_confirmed(host: str, port: int):
-        asking = await curio.spawn(tenure.ask, shell, holding, daemon=True)
+        asking = await curio.spawn(lease_confirmation.ask, shell, holding, daemon=True)
         try:
             sock = await dial(host, port)
         except BaseException:
             await asking.cancel()
             raise
         try:
-            if await tenure.confirm(shell, holding, await asking.join()):
+            if await lease_confirmation.confirm(shell, holding, await asking.join()):
                 left.append(shell.doubts.get(command.service))
                 shell.doubts[command.service] = Doubted(
-                    holding.duty.fence, shell.now() + tenure.FLIGHT_S
+                    holding.duty.fence, shell.now() + lease_confirmation.FLIGHT_S
                 )
                 return sock
         except BaseException:
@@ -151,7 +153,9 @@
         await sock.close()
         raise ConnectionAbortedError("the duty is not confirmed")
 
-    pause = tenure.pause_of(shell.platform_calls, shell.settings.cloud.duty_per_s, shell.now())
+    pause = lease_confirmation.pause_of(
+        shell.platform_calls, shell.settings.cloud.duty_per_s, shell.now()
+    )
     shell.platform_calls.append(shell.now() + pause)
     if pause:
         await curio.sleep(pause)
@@ -179,33 +183,26 @@
 
 @runs(Announce)
 async def run_announce(shell, command: Announce, _holding=None) -> None:
-    """Word to all counters, by way of their registrars.
-
-    >>> RUNNERS[Announce] is run_announce
-    True
-    """
+    """Word to all counters, by way of their registrars."""
     shell.announce(Pending(command.service, command.seconds))
     shell.office.tell_all(Pending(command.service, command.seconds))
     await shell.act()
 
 
 @runs(Fence)
-async def run_fence(shell, command: Fence, holding: tenure.Holding) -> bool:
+async def run_fence(shell, command: Fence, holding: lease_confirmation.Holding) -> bool:
     """The duty anew, the same holder with a higher fence, unless our fence is above the unclear call's already.
 
     Where the platform checks no fences, waits until that call can't land any more.
-
-    >>> RUNNERS[Fence] is run_fence
-    True
     """
     office = shell.office
     doubt = shell.doubts.get(command.service, Doubted(holding.duty.fence, -1e9))
     if not shell.settings.bounds.fencing and doubt.until > shell.now():
         await curio.sleep(doubt.until - shell.now())
-    if duties.is_ours(office) and office.duty.fence <= doubt.fence:
-        await shell.decide(duties.DUTY, claim_duty(office.me, office.nonce, office.duty))
+    if lease.is_ours(office) and office.duty.fence <= doubt.fence:
+        await shell.decide(lease.DUTY, claim_duty(office.me, office.nonce, office.duty))
     # whatever the answer was: what counts is which fence of ours is decided now
-    if not duties.is_ours(office) or office.duty.fence <= doubt.fence:
+    if not lease.is_ours(office) or office.duty.fence <= doubt.fence:
         return False
     holding.move_on(office.duty)
     return True
@@ -213,11 +210,7 @@
 
 @runs(Look)
 async def run_look(shell, command: Look, _holding=None) -> set:
-    """Who is there now.
-
-    >>> RUNNERS[Look] is run_look
-    True
-    """
+    """Who is there now."""
     return {
         record.name
         for record in shell.office.board.records.values()
@@ -227,15 +220,11 @@
 
 @runs(Rest)
 async def run_rest(shell, command: Rest, _holding=None) -> None:
-    """A pause.
-
-    >>> RUNNERS[Rest] is run_rest
-    True
-    """
+    """A pause."""
     await curio.sleep(command.seconds)
 
 
-async def run_batch(shell, commands: list, holding: tenure.Holding) -> dict:
+async def run_batch(shell, commands: list, holding: lease_confirmation.Holding) -> dict:
     """Runs commands side by side; gives each one's outcome.
 
     Once a backend has answered, the silent ones are waited for a little only, but for patient commands.
@@ -268,13 +257,13 @@
     return outcomes
 
 
-async def run_plan(shell, plan, holding: tenure.Holding):
+async def run_plan(shell, plan, holding: lease_confirmation.Holding):
     """Walks a plan to its end; gives what it returns. Stops if the duty is lost, or if we stood still meanwhile."""
     began_at = shell.now()
     try:
         commands = next(plan)
         while True:
-            if stood_still(shell, began_at) or not duties.holds_duty(shell.office, shell.now()):
+            if stood_still(shell, began_at) or not lease.holds_duty(shell.office, shell.now()):
                 plan.close()
                 return None
             commands = plan.send(await run_batch(shell, commands, holding))
--- a/sumacloom/registrar/duties.py
+++ b/sumacloom/controller/failover/lease.py
@@ -1,8 +1,8 @@
 """The failover duty: won by ballots on its register when it falls vacant."""
 
-from ..agreement.values import DutyValue, claim_duty, decode, encode
-from ..common.logs import Scribe
-from ..common.results import Err, Ok, mishap
+from sumacloom.controller.registers.values import DutyValue, claim_duty, decode, encode
+from sumacloom.errors import Err, Ok, mishap
+from sumacloom.logs import Scribe
 
 scribe = Scribe("duties")
 DUTY = "duty/failover"
--- a/sumacloom/registrar/tenure.py
+++ b/sumacloom/controller/failover/lease_confirmation.py
@@ -8,8 +8,8 @@
 
 from collections import deque
 
-from ..agreement.values import DutyValue, decode, keep
-from . import duties
+from sumacloom.controller.failover import lease
+from sumacloom.controller.registers.values import DutyValue, decode, keep
 
 CONFIRMED_S = 0.5
 REUSED_S = 0.25  # a plan's first reading serves its call too while it is younger than this
@@ -53,7 +53,7 @@
     """Whether a call of this plan may leave now, the duty having been read at a majority that was asked at `asked_at`."""
     return (
         decode(DutyValue, read) == holding.duty == office.duty
-        and duties.holds_duty(office, now)
+        and lease.holds_duty(office, now)
         and now - asked_at <= CONFIRMED_S
         and now >= first_call_at(office)
     )
@@ -64,7 +64,7 @@
     asked_at = shell.now()
     if holding and holding.asked and asked_at - holding.asked[0] <= REUSED_S:
         return holding.asked
-    return asked_at, await shell.decide(duties.DUTY, keep, reading=True)
+    return asked_at, await shell.decide(lease.DUTY, keep, reading=True)
 
 
 async def confirm(shell, holding: Holding, asked: tuple | None = None) -> bool:
--- a/sumacloom/registrar/failover.py
+++ b/sumacloom/controller/failover/plans.py
@@ -6,8 +6,8 @@
 
 from typing import NamedTuple
 
-from ..common.types import Position, read_position
-from ..courier.news import Record
+from sumacloom.transport.updates import Record
+from sumacloom.types import Position, read_position
 
 CATCH_UP_TRIES = 20
 SOON_S = 2.0
--- a/sumacloom/registrar/caretaker.py
+++ b/sumacloom/controller/failover/supervisor.py
@@ -2,11 +2,11 @@
 
 import curio
 
-from ..agreement.values import DutyValue, decode
-from ..common.logs import Scribe
-from . import duties, tenure
-from .errands import PROBE_CUTOFF_S, Doubted, run_ask, run_plan
-from .failover import Ask, draw_plan
+from sumacloom.controller.failover import lease, lease_confirmation
+from sumacloom.controller.failover.executor import PROBE_CUTOFF_S, Doubted, run_ask, run_plan
+from sumacloom.controller.failover.plans import Ask, draw_plan
+from sumacloom.controller.registers.values import DutyValue, decode
+from sumacloom.logs import Scribe
 
 scribe = Scribe("registrar")
 PROBE_S = 0.2
@@ -17,7 +17,7 @@
 
 def may_act(shell) -> bool:
     """Whether the failover duty is ours at this moment."""
-    return duties.holds_duty(shell.office, shell.now())
+    return lease.holds_duty(shell.office, shell.now())
 
 
 async def probe(shell, record) -> None:
@@ -52,9 +52,9 @@
         shell.duty_known = (office.duty.holder, office.duty.nonce)
         shell.doubts = dict.fromkeys(
             {record.service for record in records.values()} if office.duty.fence > 1 else set(),
-            Doubted(office.duty.fence - 1, tenure.first_call_at(office)),
+            Doubted(office.duty.fence - 1, lease_confirmation.first_call_at(office)),
         )
-    if now < tenure.first_call_at(office):
+    if now < lease_confirmation.first_call_at(office):
         return
     services = {}
     for record in records.values():
@@ -91,8 +91,8 @@
 async def carry_out(shell, service: str, name: str, plan) -> None:
     """Runs one plan, after a majority has confirmed that the duty is ours."""
     try:
-        asked = await tenure.ask(shell)
-        holding, result = tenure.Holding(shell.office.duty, asked), asked[1]
+        asked = await lease_confirmation.ask(shell)
+        holding, result = lease_confirmation.Holding(shell.office.duty, asked), asked[1]
         if (
             result.is_err()
             or decode(DutyValue, result.ok()[1]) != holding.duty
--- a/sumacloom/registrar/hearing.py
+++ b/sumacloom/controller/peer_heartbeats.py
@@ -1,11 +1,11 @@
 """What a registrar does with its peers' heartbeats."""
 
-from ..agreement.contact import newest_ballots
-from ..agreement.hearing import KNOWN_S, hear_configuration, hear_decided, hears
-from ..agreement.messages import Decided, Reconfigured
-from ..common.logs import Scribe
-from ..common.types import NO_BALLOT, Ballot
-from ..courier.messages import PeerBeat
+from sumacloom.consensus.contact import newest_ballots
+from sumacloom.consensus.handlers import KNOWN_S, hear_configuration, hear_decided, hears
+from sumacloom.consensus.messages import Decided, Reconfigured
+from sumacloom.logs import Scribe
+from sumacloom.transport.messages import PeerBeat
+from sumacloom.types import NO_BALLOT, Ballot
 
 scribe = Scribe("office")
 
--- a/sumacloom/registrar/access.py
+++ b/sumacloom/controller/policy/access.py
@@ -7,11 +7,11 @@
 
 from collections import deque
 
-from ..agreement.values import keep
-from ..common.blueprint import unpack_blueprint
-from ..common.logs import Scribe
-from ..courier.news import AccessNews
-from . import rollout
+from sumacloom.configuration.model import unpack_blueprint
+from sumacloom.controller.policy import staged_rollout
+from sumacloom.controller.registers.values import keep
+from sumacloom.logs import Scribe
+from sumacloom.transport.updates import AccessNews
 
 scribe = Scribe("access")
 KEY = "access"
@@ -20,7 +20,7 @@
 MOST_STAMPS = 32
 
 
-class AccessValue(rollout.Staged[bytes]):
+class AccessValue(staged_rollout.Staged[bytes]):
     def news(self) -> AccessNews:
         """As it goes to the counters.
 
@@ -82,13 +82,13 @@
 
 def held(office) -> AccessValue | None:
     """The value as this registrar knows it to be decided."""
-    return rollout.held(office, KEY, AccessValue)
+    return staged_rollout.held(office, KEY, AccessValue)
 
 
 def mind_access(office, now: float) -> None:
     """Reads by the clock; as holder of the duty, puts an offer into force once no lease can be older."""
     office.readings.mind(office, now)
-    rollout.mind(
+    staged_rollout.mind(
         office,
         KEY,
         AccessValue,
--- a/sumacloom/registrar/pooling.py
+++ b/sumacloom/controller/policy/pool_modes.py
@@ -4,13 +4,13 @@
 
 import msgspec
 
-from ..agreement.values import decode, encode
-from ..common.http import Reply, Request, json_reply, mishap_reply
-from ..common.logs import Scribe
-from ..common.results import Err, Ok, mishap
-from ..courier.board import pool_digest
-from ..courier.news import PoolNews, PoolRow
-from .ctl import decide_at_once, read_base, serves
+from sumacloom.controller.admin.routes import decide_at_once, read_base, serves
+from sumacloom.controller.registers.values import decode, encode
+from sumacloom.errors import Err, Ok, mishap
+from sumacloom.http import Reply, Request, json_reply, mishap_reply
+from sumacloom.logs import Scribe
+from sumacloom.transport.update_cache import pool_digest
+from sumacloom.transport.updates import PoolNews, PoolRow
 
 scribe = Scribe("pooling")
 KEY = "pooling"
--- a/sumacloom/registrar/lanes.py
+++ b/sumacloom/controller/policy/priority.py
@@ -5,16 +5,16 @@
 waited for until its own lease has surely run out, after which it calls itself unready.
 """
 
-from ..common.logs import Scribe
-from ..courier.news import LaneNews
-from . import rollout
+from sumacloom.controller.policy import staged_rollout
+from sumacloom.logs import Scribe
+from sumacloom.transport.updates import LaneNews
 
 scribe = Scribe("lanes")
 KEY = "lanes"
 MOST_LANES = 64
 
 
-class LanesValue(rollout.Staged[list[str]]):
+class LanesValue(staged_rollout.Staged[list[str]]):
     def news(self) -> LaneNews:
         """As it goes to the counters.
 
@@ -27,11 +27,11 @@
 def offer(databases: list[str]):
     """The change that offers a new set of databases; the same set again changes nothing.
 
-    >>> from ..agreement.values import decode
+    >>> from sumacloom.controller.registers.values import decode
     >>> decode(LanesValue, offer(["a"])(None).ok()).in_force
     False
     """
-    return rollout.offer(LanesValue, sorted(set(databases)), [])
+    return staged_rollout.offer(LanesValue, sorted(set(databases)), [])
 
 
 def enforce(generation: int):
@@ -40,17 +40,17 @@
     >>> enforce(1)(None).err().name
     'stale_match'
     """
-    return rollout.enforce(LanesValue, generation)
+    return staged_rollout.enforce(LanesValue, generation)
 
 
 def mind_lanes(office, now: float) -> None:
     """As holder of the duty: puts an offer into force once every counter holds it."""
-    rollout.mind(
+    staged_rollout.mind(
         office,
         KEY,
         LanesValue,
         lambda value: (
-            now - office.lanes_at >= rollout.OFFER_S
+            now - office.lanes_at >= staged_rollout.OFFER_S
             and not office.members.lacking(value.order, now)
         ),
         scribe,
--- a/sumacloom/registrar/rollout.py
+++ b/sumacloom/controller/policy/staged_rollout.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-from ..agreement.taken import Taken
-from ..agreement.values import decode, digest_of, encode
-from ..common.logs import Scribe
-from ..common.results import Err, Ok, mishap
-from . import duties
+from sumacloom.controller.failover import lease
+from sumacloom.controller.registers.order_history import Taken
+from sumacloom.controller.registers.values import decode, digest_of, encode
+from sumacloom.errors import Err, Ok, mishap
+from sumacloom.logs import Scribe
 
 Body = TypeVar("Body")
 OFFER_S = 0.2
@@ -115,7 +115,7 @@
     if (
         value is None
         or value.in_force
-        or not duties.holds_duty(office, now)
+        or not lease.holds_duty(office, now)
         or not office.settled(now)
     ):
         return
--- a/sumacloom/registrar/shell.py
+++ b/sumacloom/controller/process.py
@@ -6,22 +6,30 @@
 
 import curio
 
-from ..agreement import membership
-from ..common import http
-from ..common.logs import Scribe
-from ..common.settings import FileWatch, Settings, read_settings, split_address
-from ..common.signals import Signals
-from ..courier.links import Link, accept_all, dial, kept, listen, tune
-from ..courier.messages import Follow, Hello, Intent, MemberBeat, Pending, RegistrarBeat, Verdict
-from ..ledger.log import Ledger
-from . import access_calls, admin, ctl  # noqa: F401  (access_calls serves calls)
-from .access import Stamps
-from .caretaker import mind_backends
-from .errands import Doubted, note_tick, stood_still
-from .office import Office
-from .pooling import hear_minds
-from .spool import may_leave, take_intent, take_verdict, unhanded
-from .syncing import sync_disk
+from sumacloom import http
+from sumacloom.consensus import reconfiguration
+from sumacloom.controller.admin import access_calls, routes, tables  # noqa: F401  (access_calls serves calls)
+from sumacloom.controller.core import Office
+from sumacloom.controller.delivery.log import may_leave, take_intent, take_verdict, unhanded
+from sumacloom.controller.disk_writer import sync_disk
+from sumacloom.controller.failover.executor import Doubted, note_tick, stood_still
+from sumacloom.controller.failover.supervisor import mind_backends
+from sumacloom.controller.policy.access import Stamps
+from sumacloom.controller.policy.pool_modes import hear_minds
+from sumacloom.logs import Scribe
+from sumacloom.settings import FileWatch, Settings, read_settings, split_address
+from sumacloom.signals import Signals
+from sumacloom.transport.link import Link, accept_all, dial, kept, listen, tune
+from sumacloom.transport.messages import (
+    Follow,
+    Hello,
+    Intent,
+    MemberBeat,
+    Pending,
+    RegistrarBeat,
+    Verdict,
+)
+from sumacloom.wal.log import Ledger
 
 scribe = Scribe("registrar")
 TICK_S = 0.05
@@ -269,7 +277,7 @@
         """A message of another registrar, on whichever link it came."""
         if isinstance(message, Pending):
             self.announce(message)
-        elif not admin.hear(self, peer, message):
+        elif not tables.hear(self, peer, message):
             self.office.hear(peer, message, self.now())
 
     # ------------------------------------------------------------ running
@@ -316,7 +324,7 @@
         """Serves one HTTP connection."""
 
         async def handler(request):
-            return await ctl.handle(self, request)
+            return await routes.handle(self, request)
 
         await http.serve_wire(sock, handler)
 
@@ -366,7 +374,7 @@
                 len(left),
                 left[0],
             )
-        if office.me in office.acceptor.configuration.members and not membership.may_go(
+        if office.me in office.acceptor.configuration.members and not reconfiguration.may_go(
             office, self.now()
         ):
             scribe.warn(
--- a/sumacloom/agreement/values.py
+++ b/sumacloom/controller/registers/values.py
@@ -5,10 +5,10 @@
 
 import msgspec
 
-from ..common.blueprint import pack_blueprint, unpack_blueprint
-from ..common.differences import differ, patch
-from ..common.results import Err, Ok, mishap
-from .taken import Taken
+from sumacloom.configuration.differences import differ, patch
+from sumacloom.configuration.model import pack_blueprint, unpack_blueprint
+from sumacloom.controller.registers.order_history import Taken
+from sumacloom.errors import Err, Ok, mishap
 
 KEYS = (
     "blueprint",
--- a/sumacloom/registrar/roster.py
+++ b/sumacloom/controller/registry/backends.py
@@ -5,11 +5,11 @@
 import msgspec
 from msgspec import structs
 
-from ..common.logs import Scribe
-from ..common.results import Err, Ok, Result, mishap
-from ..common.settings import split_address
-from ..courier.board import Board
-from ..courier.news import Record, Sighting
+from sumacloom.errors import Err, Ok, Result, mishap
+from sumacloom.logs import Scribe
+from sumacloom.settings import split_address
+from sumacloom.transport.update_cache import Board
+from sumacloom.transport.updates import Record, Sighting
 
 scribe = Scribe("roster")
 TOMBSTONE_S = 60.0
--- a/sumacloom/registrar/members.py
+++ b/sumacloom/controller/registry/members.py
@@ -3,7 +3,7 @@
 from bisect import bisect_left
 from typing import NamedTuple
 
-from ..common.logs import Scribe
+from sumacloom.logs import Scribe
 
 scribe = Scribe("roster")
 SESSION_S = 2.5  # a quiet session ends after this; longer than a counter's own lease
--- a/sumacloom/daemon.py
+++ b/sumacloom/daemon.py
@@ -12,9 +12,9 @@
     >>> run_daemon("counter", "/nowhere")
     2
     """
-    from .common.logs import start_logs
-    from .common.results import exit_code
-    from .common.settings import read_settings
+    from sumacloom.errors import exit_code
+    from sumacloom.logs import start_logs
+    from sumacloom.settings import read_settings
 
     result = read_settings(role, settings_path)
     if result.is_err():
@@ -24,9 +24,9 @@
     settings = result.ok()
     start_logs(settings.log_level, settings.node)
     if role == "counter":
-        from .counter.shell import Shell
+        from sumacloom.pooler.process import Shell
     else:
-        from .registrar.shell import Shell
+        from sumacloom.controller.process import Shell
     opened = open_shell(Shell, settings)
     if opened.is_err():
         found = opened.err()
@@ -72,8 +72,8 @@
     """
     import time
 
-    from .common.logs import Scribe
-    from .common.results import Err, Ok, mishap
+    from sumacloom.errors import Err, Ok, mishap
+    from sumacloom.logs import Scribe
 
     for _try in range(DISK_TRIES):
         try:
--- a/sumacloom/common/http.py
+++ b/sumacloom/http.py
@@ -56,7 +56,7 @@
 def mishap_reply(found) -> Reply:
     """A mishap as a reply.
 
-    >>> from sumacloom.common.results import mishap
+    >>> from sumacloom.errors import mishap
     >>> mishap_reply(mishap("no_route")).status
     404
     """
--- a/sumacloom/counter/gate.py
+++ b/sumacloom/pooler/admission.py
@@ -4,10 +4,10 @@
 counter's own clock that a registrar confirmed by a reading at a majority. So whoever still serves holds the newest.
 """
 
-from ..common.access import Access
-from ..common.blueprint import unpack_blueprint
-from ..common.logs import Scribe
-from ..courier.news import AccessNews
+from sumacloom.configuration.access_list import Access
+from sumacloom.configuration.model import unpack_blueprint
+from sumacloom.logs import Scribe
+from sumacloom.transport.updates import AccessNews
 
 scribe = Scribe("gate")
 LEASE_S = 3.0  # shorter than the registrars' ENFORCE_S
@@ -84,7 +84,7 @@
     def denies(self, session, database: str, place: int) -> str:
         """What to answer instead of serving, or nothing; counts the verdict under its rule.
 
-        >>> from .session import Session
+        >>> from sumacloom.pooler.session import Session
         >>> gate = Gate(); session = Session(1, 0.0, "10.0.0.1"); gate.denies(session, "books", REQUEST)
         ''
         >>> _new = gate.take(AccessNews(3, 1, b'{"default": "deny"}')); gate.denies(session, "books", REQUEST)
--- a/sumacloom/counter/moves.py
+++ b/sumacloom/pooler/completion.py
@@ -1,6 +1,6 @@
 """The moves that results and losses share: freeing a wire, finishing an errand, failing a transaction."""
 
-from . import spooling
+from sumacloom.pooler import delivery
 
 
 def release(floor, wire, now: float, touched: bool = False) -> None:
@@ -43,7 +43,7 @@
 def judge(floor, errand, lines: list[str]) -> None:
     """The verdict on a write that is listened to, if it is one."""
     if errand.intent:
-        spooling.judge(floor, errand, lines)
+        delivery.judge(floor, errand, lines)
 
 
 def finish(floor, errand, lines: list[str], now: float, position=None) -> None:
@@ -69,7 +69,7 @@
 def tell_mishap(transaction) -> str:
     """The code for a statement in a transaction that has ended: the promise first, then MALFORMED.
 
-    >>> from sumacloom.counter.session import Transaction
+    >>> from sumacloom.pooler.session import Transaction
     >>> transaction = Transaction(None, "begin", 0.0); transaction.failed = "ROLLEDBACK"
     >>> tell_mishap(transaction), tell_mishap(transaction)
     ('ROLLEDBACK', 'MALFORMED')
--- a/sumacloom/counter/losses.py
+++ b/sumacloom/pooler/connection_loss.py
@@ -1,8 +1,8 @@
 """What follows when a wire is lost: resent where that is safe, else the truth about what may have run."""
 
-from .errand import Errand
-from .moves import drop, fail_transaction, finish, refuse
-from .session import Transaction
+from sumacloom.pooler.completion import drop, fail_transaction, finish, refuse
+from sumacloom.pooler.pending_statement import Errand
+from sumacloom.pooler.session import Transaction
 
 MOST_READ_SENDS = 3
 
--- a/sumacloom/counter/places.py
+++ b/sumacloom/pooler/controller_discovery.py
@@ -2,8 +2,8 @@
 
 import curio
 
-from ..common.settings import split_address
-from ..courier.links import Link, dial
+from sumacloom.settings import split_address
+from sumacloom.transport.link import Link, dial
 
 
 class Places:
--- a/sumacloom/counter/floor.py
+++ b/sumacloom/pooler/core.py
@@ -6,23 +6,23 @@
 
 from bisect import insort
 
-from ..charts import load_chart
-from ..common.blueprint import Blueprint
-from ..common.lines import encode
-from ..common.logs import Scribe
-from ..common.settings import Settings
-from . import losses, moves, outcomes
-from .errand import Errand
-from .gate import LOGIN, Gate
-from .pooling import Pooling
-from .rules import compile_rules
-from .session import Session, decode, wire_text
-from .spooling import Spooling, holds_back, judge
-from .verbs import SORTS
-from .yard import Yard
+from sumacloom.configuration.model import Blueprint
+from sumacloom.line_protocol import encode
+from sumacloom.logs import Scribe
+from sumacloom.pooler import completion, connection_loss, server_results
+from sumacloom.pooler.admission import LOGIN, Gate
+from sumacloom.pooler.delivery import Spooling, holds_back, judge
+from sumacloom.pooler.pending_statement import Errand
+from sumacloom.pooler.pool_mode import Pooling
+from sumacloom.pooler.routing import compile_rules
+from sumacloom.pooler.server_pools import Yard
+from sumacloom.pooler.session import Session, decode, wire_text
+from sumacloom.pooler.statement_handlers import SORTS
+from sumacloom.settings import Settings
+from sumacloom.state_machines import load_chart
 
 scribe = Scribe("floor")
-LEAVING = load_chart("leaving")
+LEAVING = load_chart("graceful_shutdown")
 
 
 class Floor:
@@ -56,7 +56,7 @@
         self.rules = compile_rules(blueprint)
         self.yard.services = {service.name: service for service in blueprint.svcs}
         scribe.say("the blueprint %d is in force", blueprint.ver)
-        moves.draw_again(self, now)
+        completion.draw_again(self, now)
 
     def take_records(self, records: list, now: float) -> None:
         """Takes backends' records from the news.
@@ -65,7 +65,7 @@
         """
         for record in records:
             for wire in self.yard.take_record(record, now):
-                losses.wire_lost(self, wire, "the backend is gone", now, report=False)
+                connection_loss.wire_lost(self, wire, "the backend is gone", now, report=False)
         for service in self.waitlists:
             self.pump(service, now)
 
@@ -101,7 +101,7 @@
             )
         self.unsure = unsure
         if unsure:
-            moves.close_idle(self, now)
+            completion.close_idle(self, now)
 
     # ------------------------------------------------------------ sessions
     def session_opened(self, key, now: float, address: str = "") -> None:
@@ -179,7 +179,7 @@
             return
         transaction = session.transaction
         if transaction and transaction.failed and statement.sort not in ("commit", "abort"):
-            code = moves.tell_mishap(transaction)
+            code = completion.tell_mishap(transaction)
             self.reply(session, [f"ERR {code} the transaction has ended"], now)
             return
         SORTS[statement.sort](self, session, statement, now)
@@ -207,9 +207,9 @@
             unsent = errand.wire if errand.stage == "spooling" and not transaction else None
             self.end_errand(errand)
             if unsent:
-                moves.release(self, unsent, now)
+                completion.release(self, unsent, now)
         if transaction and transaction.wire and not (errand and errand.stage in ("setup", "run")):
-            moves.release(self, transaction.wire, now)
+            completion.release(self, transaction.wire, now)
         session.transaction = None
 
     def send(self, session: Session, *lines: str) -> None:
@@ -247,7 +247,7 @@
             session, statement, rule, plan or rule.plans[statement.sort], now, transaction
         )
         if self.unsure and self.blueprint.limits.guarded and not (transaction and transaction.wire):
-            moves.refuse(self, errand, now)
+            completion.refuse(self, errand, now)
             return
         errand.lane = session.database in self.lanes
         session.errand = errand
@@ -301,7 +301,7 @@
         ground = yard.ground(errand.rule.service)
         if errand.plan[0] == "rotation":
             ground.read_at = now
-            errand.needed = outcomes.needed(self, errand, ground, now)
+            errand.needed = server_results.needed(self, errand, ground, now)
             if errand.needed is None:
                 return False
             backends = yard.draw_rotation(ground, errand.rule, errand.needed, now)
@@ -349,7 +349,7 @@
         wire.owner = errand
         texts = None if wire.lost else wire.setup(session.values, errand.statement.prepared, bound)
         if texts is None:
-            moves.fail_transaction(self, errand, "ROLLEDBACK", now)
+            completion.fail_transaction(self, errand, "ROLLEDBACK", now)
             return
         if bound and any(text.startswith("SET ") for text in texts):
             transaction.touched = True
@@ -369,7 +369,7 @@
 
     def run(self, errand: Errand, now: float) -> None:
         """Sends the statement itself, and the end behind it where the plan has one."""
-        if outcomes.emptied(self, errand, now) or holds_back(self, errand, now):
+        if server_results.emptied(self, errand, now) or holds_back(self, errand, now):
             return
         wire, statement = errand.wire, errand.statement
         errand.stage, errand.ran_at = "run", now
--- a/sumacloom/counter/spooling.py
+++ b/sumacloom/pooler/delivery.py
@@ -4,7 +4,7 @@
 What nobody listens to passes untouched. A counter that can't be sure who listens treats all as listened to.
 """
 
-from ..courier.messages import Intent, Verdict
+from sumacloom.transport.messages import Intent, Verdict
 
 HOLD_S = 0.6  # how long a write waits for its intent to be held
 AGAIN_S = 1.0
@@ -53,7 +53,7 @@
 def item_text(statement) -> str:
     """A write as listeners get it; a long one is cut, and says so.
 
-    >>> from .session import decode
+    >>> from sumacloom.pooler.session import decode
     >>> item_text(decode("1 PUT a b", {})), item_text(decode("1 EXEC s a b", {"s": ("PUT", "q")}))
     ('PUT a b', 'EXEC q a b')
     """
--- a/sumacloom/counter/upkeep_spooling.py
+++ b/sumacloom/pooler/delivery_timers.py
@@ -1,8 +1,8 @@
 """What the clock does to a write whose intent no registrar took in time."""
 
-from . import moves
-from .spooling import HOLD_S
-from .upkeep_stages import stage
+from sumacloom.pooler import completion
+from sumacloom.pooler.delivery import HOLD_S
+from sumacloom.pooler.stage_timers import stage
 
 
 @stage("spooling")
@@ -12,7 +12,7 @@
         return
     wire, transaction = errand.wire, errand.transaction
     if transaction:
-        moves.fail_transaction(floor, errand, "ROLLEDBACK", now)
+        completion.fail_transaction(floor, errand, "ROLLEDBACK", now)
     else:
-        moves.finish(floor, errand, ["ERR BUSY not run; come back in 500 ms"], now)
-        moves.release(floor, wire, now)
+        completion.finish(floor, errand, ["ERR BUSY not run; come back in 500 ms"], now)
+        completion.release(floor, wire, now)
--- a/sumacloom/counter/member.py
+++ b/sumacloom/pooler/membership.py
@@ -2,14 +2,23 @@
 
 import curio
 
-from ..common.logs import Scribe, set_level
-from ..common.settings import split_address
-from ..courier.board import Board
-from ..courier.links import Link, accept_all, listen, tune
-from ..courier.messages import Follow, Held, Hello, MemberBeat, News, Noted, Pending, RegistrarBeat
-from ..courier.news import Digest
-from .gate import Lease
-from .places import Places
+from sumacloom.logs import Scribe, set_level
+from sumacloom.pooler.admission import Lease
+from sumacloom.pooler.controller_discovery import Places
+from sumacloom.settings import split_address
+from sumacloom.transport.link import Link, accept_all, listen, tune
+from sumacloom.transport.messages import (
+    Follow,
+    Held,
+    Hello,
+    MemberBeat,
+    News,
+    Noted,
+    Pending,
+    RegistrarBeat,
+)
+from sumacloom.transport.update_cache import Board
+from sumacloom.transport.updates import Digest
 
 scribe = Scribe("member")
 BEAT_S, EARLY_S = 0.35, 0.1  # the second while new: what we hold is to be confirmed soon
--- a/sumacloom/counter/errand.py
+++ b/sumacloom/pooler/pending_statement.py
@@ -1,6 +1,6 @@
 """An errand: one statement on its way to a backend and back."""
 
-from .rules import FALLBACK, PLANS
+from sumacloom.pooler.routing import FALLBACK, PLANS
 
 
 class Errand:
--- a/sumacloom/counter/pooling.py
+++ b/sumacloom/pooler/pool_mode.py
@@ -7,8 +7,8 @@
 
 from collections import OrderedDict
 
-from ..common.settings import PoolSettings
-from ..courier.news import PoolRow
+from sumacloom.settings import PoolSettings
+from sumacloom.transport.updates import PoolRow
 
 STATEMENT, TRANSACTION = "statement", "transaction"
 MOST_TALLIES, MOST_NAMES = 4096, 1024
@@ -68,7 +68,7 @@
     def seen(self, session, stateful: bool, now: float) -> None:
         """A request or a change of a session's state; the first sign of state tightens the session at once.
 
-        >>> from .session import Session
+        >>> from sumacloom.pooler.session import Session
         >>> session = Session(1, 0.0); session.database, session.mode = "books", "statement"
         >>> pooling = Pooling(PoolSettings()); pooling.seen(session, True, 1.0); session.mode
         'transaction'
--- a/sumacloom/counter/anchors.py
+++ b/sumacloom/pooler/primary_positions.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from ..common.types import Position
+from sumacloom.types import Position
 
 KEEP_S = 6.0
 STEP_S = 0.05
--- a/sumacloom/counter/shell.py
+++ b/sumacloom/pooler/process.py
@@ -5,17 +5,24 @@
 
 import curio
 
-from ..common import http
-from ..common.logs import Scribe
-from ..common.settings import FileWatch, Settings, read_settings, split_address
-from ..common.signals import Signals
-from ..courier.board import Board
-from ..courier.links import Outlet, accept_all, dial, kept, listen, tune
-from ..courier.messages import Held
-from . import gate, losses, moves, outcomes, spooling, upkeep
-from .floor import Floor
-from .member import Member
-from .report import report_of
+from sumacloom import http
+from sumacloom.logs import Scribe
+from sumacloom.pooler import (
+    admission,
+    completion,
+    connection_loss,
+    delivery,
+    server_results,
+    timers,
+)
+from sumacloom.pooler.core import Floor
+from sumacloom.pooler.membership import Member
+from sumacloom.pooler.status_report import report_of
+from sumacloom.settings import FileWatch, Settings, read_settings, split_address
+from sumacloom.signals import Signals
+from sumacloom.transport.link import Outlet, accept_all, dial, kept, listen, tune
+from sumacloom.transport.messages import Held
+from sumacloom.transport.update_cache import Board
 
 scribe = Scribe("counter")
 TICK_S = 0.05
@@ -130,7 +137,7 @@
                     data = await sock.recv(65536)
                     if not data:
                         break
-                    outcomes.wire_data(self.floor, key, data, self.now())
+                    server_results.wire_data(self.floor, key, data, self.now())
                     await self.act()
             except OSError as error:
                 why = str(error)
@@ -141,7 +148,7 @@
         self.outlets.pop(key, None)
         wire = self.floor.wires.get(key)
         if wire:
-            losses.wire_lost(self.floor, wire, why, self.now())
+            connection_loss.wire_lost(self.floor, wire, why, self.now())
             if self.floor.mishaps:
                 self.member.beat()
         await self.act()
@@ -168,7 +175,7 @@
                     await self.act()
                     while len(session.waiting) > MOST_WAITING and not session.closed:
                         await curio.sleep(0.02)
-                moves.session_ended(floor, key, self.now())
+                completion.session_ended(floor, key, self.now())
                 await self.act()
                 while key in self.outlets and not session.closed:
                     await curio.sleep(TICK_S)
@@ -193,7 +200,7 @@
     async def hear_spool(self, message) -> None:
         """A registrar holds an intent, or has noted a verdict."""
         if isinstance(message, Held):
-            spooling.intent_held(self.floor, message, self.now())
+            delivery.intent_held(self.floor, message, self.now())
             await self.act()
         elif message.life == self.life:
             self.floor.spooling.note(message.database, message.number)
@@ -210,7 +217,7 @@
             if self.signals.take_hangup() or self.watch.changed(self.now()):
                 self.reread()
             if self.signals.ending:
-                upkeep.sigterm(self.floor, self.now())
+                timers.sigterm(self.floor, self.now())
             self.member.look(self.now())
             yard = self.floor.yard
             yard.settled = self.member.settled
@@ -220,7 +227,7 @@
             guarded = bool(self.floor.blueprint and self.floor.blueprint.limits.guarded)
             access, now = self.member.board.access, self.now()
             lapsed = not self.member.lease.held(now)
-            gate.take_access(self.floor, access, lapsed, now)
+            admission.take_access(self.floor, access, lapsed, now)
             used = self.member.must_be_sure(guarded or lapsed)
             self.floor.take_lanes(lanes.databases, self.member.sure and not lapsed, used, now)
             listeners = self.member.board.listeners
@@ -231,7 +238,7 @@
             self.member.feed_children()
             self.floor.alone = self.member.settled and not self.member.sure
             self.member.leaving = self.floor.leaving != "serving"
-            upkeep.tick(self.floor, self.now())
+            timers.tick(self.floor, self.now())
             for key in list(self.blocked):
                 outlet = self.outlets.get(key)
                 if outlet is None or outlet.flush():
--- a/sumacloom/counter/rotation.py
+++ b/sumacloom/pooler/replica_health.py
@@ -6,13 +6,13 @@
 
 from collections import deque
 
-from ..charts import load_chart
-from ..common.logs import Scribe
-from ..common.settings import Health
-from ..common.types import ORIGIN, Position
+from sumacloom.logs import Scribe
+from sumacloom.settings import Health
+from sumacloom.state_machines import load_chart
+from sumacloom.types import ORIGIN, Position
 
 scribe = Scribe("rotation")
-CHART = load_chart("replica")
+CHART = load_chart("replica_health")
 TIP_STEP_S = 0.25
 SHOWN = 1.2  # sweeps: a position shown so lately, here or by way of the registrars, spares a STAT
 LEAST_SOFT, LEAST_HARD = 3, 8  # positions; the source's own figures, kept as least widths
--- a/sumacloom/counter/rules.py
+++ b/sumacloom/pooler/routing.py
@@ -11,7 +11,7 @@
 
 from typing import NamedTuple
 
-from ..common.blueprint import Blueprint, Route
+from sumacloom.configuration.model import Blueprint, Route
 
 PLANS = {
     "lead_read": ("lead", "open", "run", "end"),
--- a/sumacloom/counter/wire.py
+++ b/sumacloom/pooler/server_connection.py
@@ -3,8 +3,8 @@
 from collections import deque
 from typing import NamedTuple
 
-from ..common.lines import LineSplitter, encode
-from ..common.types import Position, read_position
+from sumacloom.line_protocol import LineSplitter, encode
+from sumacloom.types import Position, read_position
 
 MOST_NAMES = 200
 MOST_ROWS = 3 << 20
--- a/sumacloom/counter/yard.py
+++ b/sumacloom/pooler/server_pools.py
@@ -2,12 +2,12 @@
 
 import zlib
 
-from ..common.logs import Scribe
-from ..common.settings import Settings, split_address
-from ..common.types import Position
-from ..courier.news import Sighting
-from .ground import Backend, Ground
-from .wire import Wire
+from sumacloom.logs import Scribe
+from sumacloom.pooler.server_connection import Wire
+from sumacloom.pooler.service_pool import Backend, Ground
+from sumacloom.settings import Settings, split_address
+from sumacloom.transport.updates import Sighting
+from sumacloom.types import Position
 
 scribe = Scribe("yard")
 BACKOFF_S, MOST_BACKOFF_S = 0.15, 1.2
@@ -158,7 +158,7 @@
         """Whether the route's homes admit the backend's region.
 
         >>> backend = Backend("i-1", "svc"); backend.region = "sul"
-        >>> from sumacloom.counter.rules import Rule
+        >>> from sumacloom.pooler.routing import Rule
         >>> rule = Rule("r", "svc", "self", 1, 1, 1, 0, frozenset({"norte"}), {})
         >>> Yard(Settings("n", "r", "10.0.0.1", "z")).at_home(backend, rule)
         False
--- a/sumacloom/counter/outcomes.py
+++ b/sumacloom/pooler/server_results.py
@@ -4,12 +4,12 @@
 have reached its backend never does. Promises are made only where they are certainly true.
 """
 
-from ..common.logs import Scribe
-from ..common.types import ORIGIN
-from .errand import Errand
-from .losses import MOST_READ_SENDS, wire_lost
-from .moves import drop, fail_transaction, finish, release, settle
-from .spooling import item_text, judge
+from sumacloom.logs import Scribe
+from sumacloom.pooler.completion import drop, fail_transaction, finish, release, settle
+from sumacloom.pooler.connection_loss import MOST_READ_SENDS, wire_lost
+from sumacloom.pooler.delivery import item_text, judge
+from sumacloom.pooler.pending_statement import Errand
+from sumacloom.types import ORIGIN
 
 scribe = Scribe("wires")
 NOT_RUN = frozenset({"BUSY", "NOSUCH", "LAGGING", "RO", "WRONGHOST", "MAXCONN"})
@@ -59,11 +59,7 @@
 
 @result_of("login")
 def login_result(floor, wire, result, now: float) -> None:
-    """A wire is up, or its backend refused it.
-
-    >>> RESULTS["login"] is login_result
-    True
-    """
+    """A wire is up, or its backend refused it."""
     backend = observe(floor, wire, result, now)
     if result.code:
         scribe.say("the backend %s refused a wire: %s", wire.backend, result.code)
@@ -82,11 +78,7 @@
 
 @result_of("pre")
 def setup_result(floor, wire, result, now: float) -> None:
-    """One of the texts that prepare a wire was answered.
-
-    >>> RESULTS["pre"] is setup_result
-    True
-    """
+    """One of the texts that prepare a wire was answered."""
     errand = wire.owner
     if not isinstance(errand, Errand) or errand.stage != "setup":
         wire.dirty = wire.dirty or bool(result.code)
@@ -113,11 +105,7 @@
 
 @result_of("begin")
 def begin_result(floor, wire, result, now: float) -> None:
-    """The BEGIN that fences a statement was answered.
-
-    >>> RESULTS["begin"] is begin_result
-    True
-    """
+    """The BEGIN that fences a statement was answered."""
     backend = observe(floor, wire, result, now)
     errand = wire.owner
     led = not result.code and isinstance(errand, Errand) and "open" in errand.plan
@@ -186,11 +174,7 @@
 
 @result_of("run")
 def run_result(floor, wire, result, now: float) -> None:
-    """The client's own statement was answered.
-
-    >>> RESULTS["run"] is run_result
-    True
-    """
+    """The client's own statement was answered."""
     backend = observe(floor, wire, result, now)
     errand = wire.owner
     if not isinstance(errand, Errand) or errand.stage != "run":
@@ -276,22 +260,14 @@
 @result_of("clean")
 @result_of("stat")
 def own_result(floor, wire, result, now: float) -> None:
-    """A text of our own was answered: an end, or a sweep's STAT.
-
-    >>> RESULTS["stat"] is own_result
-    True
-    """
+    """A text of our own was answered: an end, or a sweep's STAT."""
     observe(floor, wire, result, now)
     settle(floor, wire, now)
 
 
 @result_of("anchor")
 def anchor_result(floor, wire, result, now: float) -> None:
-    """A BEGIN that only asks for a proven position.
-
-    >>> RESULTS["anchor"] is anchor_result
-    True
-    """
+    """A BEGIN that only asks for a proven position."""
     backend = observe(floor, wire, result, now)
     ground = floor.yard.ground(wire.service)
     ground.seeking = None
--- a/sumacloom/counter/ground.py
+++ b/sumacloom/pooler/service_pool.py
@@ -1,8 +1,8 @@
 """One backend and one service, as a counter sees them."""
 
-from ..common.types import ORIGIN
-from .anchors import Anchors
-from .rotation import Rotation
+from sumacloom.pooler.primary_positions import Anchors
+from sumacloom.pooler.replica_health import Rotation
+from sumacloom.types import ORIGIN
 
 MOST_RESENDS, RESENDS_PER_S, RESENDS_PER_SUCCESS = 20.0, 5.0, 0.5
 
--- a/sumacloom/counter/session.py
+++ b/sumacloom/pooler/session.py
@@ -3,7 +3,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from ..common.lines import LineSplitter, is_clean
+from sumacloom.line_protocol import LineSplitter, is_clean
 
 MOST_VALUES = 500
 MOST_WAITING = 64
--- a/sumacloom/counter/verbs.py
+++ b/sumacloom/pooler/statement_handlers.py
@@ -1,8 +1,8 @@
 """What each sort of statement does; all but reads, writes and COMMIT are answered here."""
 
-from . import moves
-from .gate import REQUEST
-from .session import MOST_VALUES, Session, Transaction
+from sumacloom.pooler import completion
+from sumacloom.pooler.admission import REQUEST
+from sumacloom.pooler.session import MOST_VALUES, Session, Transaction
 
 SORTS = {}
 
@@ -23,11 +23,7 @@
 
 @sort("read", "write")
 def handle_statement(floor, session: Session, statement, now: float) -> None:
-    """A read or a write, single or in a transaction.
-
-    >>> handle_statement in SORTS.values()
-    True
-    """
+    """A read or a write, single or in a transaction."""
     transaction = session.transaction
     if transaction is None and (denial := floor.gate.denies(session, session.database, REQUEST)):
         floor.reply(session, [denial], now)
@@ -42,11 +38,7 @@
 
 @sort("begin", "begin_read")
 def handle_begin(floor, session: Session, statement, now: float) -> None:
-    """A transaction begins here; its wire is drawn at its first statement.
-
-    >>> SORTS["begin"] is handle_begin
-    True
-    """
+    """A transaction begins here; its wire is drawn at its first statement."""
     rule = floor.rules.get(session.database)
     if session.transaction:
         floor.reply(session, ["ERR MALFORMED a transaction is open"], now)
@@ -62,11 +54,7 @@
 
 @sort("commit")
 def handle_commit(floor, session: Session, statement, now: float) -> None:
-    """COMMIT goes to the backend; after a failure it is answered here.
-
-    >>> SORTS["commit"] is handle_commit
-    True
-    """
+    """COMMIT goes to the backend; after a failure it is answered here."""
     transaction = session.transaction
     if transaction is None:
         floor.reply(session, ["ERR MALFORMED no transaction is open"], now)
@@ -80,27 +68,19 @@
 
 @sort("abort")
 def handle_abort(floor, session: Session, statement, now: float) -> None:
-    """ABORT is answered here; the wire is rolled back behind it.
-
-    >>> SORTS["abort"] is handle_abort
-    True
-    """
+    """ABORT is answered here; the wire is rolled back behind it."""
     transaction, session.transaction = session.transaction, None
     if transaction is None:
         floor.reply(session, ["ERR MALFORMED no transaction is open"], now)
         return
     if transaction.wire:
-        moves.release(floor, transaction.wire, now, touched=transaction.touched)
+        completion.release(floor, transaction.wire, now, touched=transaction.touched)
     floor.reply(session, ["DONE -"], now)
 
 
 @sort("set")
 def handle_set(floor, session: Session, statement, now: float) -> None:
-    """SET is kept here and put on a wire when one is drawn.
-
-    >>> SORTS["set"] is handle_set
-    True
-    """
+    """SET is kept here and put on a wire when one is drawn."""
     if len(session.values) >= MOST_VALUES and statement.name not in session.values:
         floor.reply(session, ["ERR TOOLONG too many session values"], now)
         return
@@ -111,11 +91,7 @@
 
 @sort("prep")
 def handle_prep(floor, session: Session, statement, now: float) -> None:
-    """PREP is kept here and put on a wire when it runs.
-
-    >>> SORTS["prep"] is handle_prep
-    True
-    """
+    """PREP is kept here and put on a wire when it runs."""
     if len(session.names) >= MOST_VALUES and statement.name not in session.names:
         floor.reply(session, ["ERR TOOLONG too many prepared names"], now)
         return
@@ -126,22 +102,14 @@
 
 @sort("free")
 def handle_free(floor, session: Session, statement, now: float) -> None:
-    """FREE forgets the name.
-
-    >>> SORTS["free"] is handle_free
-    True
-    """
+    """FREE forgets the name."""
     session.names.pop(statement.name, None)
     floor.reply(session, ["DONE -"], now)
 
 
 @sort("nosuch", "malformed")
 def handle_unreadable(floor, session: Session, statement, now: float) -> None:
-    """What can't run goes to no backend.
-
-    >>> SORTS["nosuch"] is SORTS["malformed"]
-    True
-    """
+    """What can't run goes to no backend."""
     text = (
         "NOSUCH there is no such name"
         if statement.sort == "nosuch"
--- a/sumacloom/counter/report.py
+++ b/sumacloom/pooler/status_report.py
@@ -1,6 +1,6 @@
 """A counter's own state, for the admin API."""
 
-from ..courier.board import body_digest, list_digest, pool_digest
+from sumacloom.transport.update_cache import body_digest, list_digest, pool_digest
 
 
 def report_of(floor, member, now: float) -> dict:
--- a/sumacloom/counter/upkeep.py
+++ b/sumacloom/pooler/timers.py
@@ -1,9 +1,9 @@
 """What a counter does by the clock: cutoffs, sweeps, warm wires, leaving in order."""
 
-from ..common.logs import Scribe
-from . import losses, moves, spooling, upkeep_spooling  # noqa: F401  (upkeep_spooling serves a stage)
-from .floor import LEAVING, Floor
-from .upkeep_stages import AT, stage
+from sumacloom.logs import Scribe
+from sumacloom.pooler import completion, connection_loss, delivery, delivery_timers  # noqa: F401  (delivery_timers serves a stage)
+from sumacloom.pooler.core import LEAVING, Floor
+from sumacloom.pooler.stage_timers import AT, stage
 
 scribe = Scribe("upkeep")
 SETUP_CUTOFF_S = 0.25
@@ -43,18 +43,14 @@
         check_wires(floor, now)
         warm(floor, now)
         sweep(floor, now)
-    spooling.tell_again(floor, now)
+    delivery.tell_again(floor, now)
     if floor.leaving not in ("serving", "gone"):
         leave_step(floor, now)
 
 
 @stage("waiting")
 def check_waiting(floor, errand, now: float) -> None:
-    """An errand that can't be started in time is given up at once, not at the end.
-
-    >>> AT["waiting"] is check_waiting
-    True
-    """
+    """An errand that can't be started in time is given up at once, not at the end."""
     ground = floor.yard.ground(errand.rule.service)
     headless = ground.headless_since is not None and now - ground.headless_since >= LONG_OUTAGE_S
     held = now - errand.received
@@ -65,61 +61,49 @@
     hold = errand.rule.goal_s * share if now >= ground.pending_until else errand.rule.statement_s
     if held >= min(hold, errand.rule.statement_s * MOST_HELD):
         session = errand.session
-        moves.refuse(floor, errand, now)
+        completion.refuse(floor, errand, now)
         if lost and session.state == "I" and session.errand is None:
             floor.shut_session(session, now)  # it meets another counter, which may be better placed
 
 
 @stage("setup")
 def check_setup(floor, errand, now: float) -> None:
-    """A wire that leaves our own texts unanswered is dark.
-
-    >>> AT["setup"] is check_setup
-    True
-    """
+    """A wire that leaves our own texts unanswered is dark."""
     bound = (
         errand.transaction and errand.transaction.ran
     )  # a silence here would end it, not send it elsewhere
     if now >= errand.cutoff or (not bound and now - errand.ran_at >= SETUP_CUTOFF_S):
-        losses.backend_silent(floor, errand.wire, "its setup went unanswered", now)
+        connection_loss.backend_silent(floor, errand.wire, "its setup went unanswered", now)
 
 
 @stage("paused")
 def check_paused(floor, errand, now: float) -> None:
-    """A statement that found its backend busy goes out again on the same wire.
-
-    >>> AT["paused"] is check_paused
-    True
-    """
+    """A statement that found its backend busy goes out again on the same wire."""
     if now >= errand.cutoff:
-        moves.fail_transaction(floor, errand, "BUSY", now)
+        completion.fail_transaction(floor, errand, "BUSY", now)
     elif now >= errand.pause_until:
         floor.run(errand, now)
 
 
 @stage("run")
 def check_running(floor, errand, now: float) -> None:
-    """A statement past its time-out is told so; a slow single read tries elsewhere once.
-
-    >>> AT["run"] is check_running
-    True
-    """
+    """A statement past its time-out is told so; a slow single read tries elsewhere once."""
     wire, session = errand.wire, errand.session
     if now >= errand.cutoff:
         if errand.transaction:
             errand.transaction.failed, errand.transaction.wire = "told", None
             if errand.statement.sort == "commit":
                 session.transaction = None
-        moves.finish(floor, errand, ["ERR TIMEDOUT the statement took too long"], now)
+        completion.finish(floor, errand, ["ERR TIMEDOUT the statement took too long"], now)
         wire.owner = None
-        losses.wire_lost(floor, wire, "a statement took too long", now)
+        connection_loss.wire_lost(floor, wire, "a statement took too long", now)
     elif (
         errand.only_reads
         and errand.transaction is None
         and errand.sends < 2
         and now - errand.ran_at >= READ_AGAIN_S
     ):
-        losses.wire_lost(floor, wire, "a read took too long", now)
+        connection_loss.wire_lost(floor, wire, "a read took too long", now)
 
 
 def end_resting(floor, now: float) -> None:
@@ -134,7 +118,7 @@
             closed = backend is not None and floor.yard.closed_to_new(backend, now)
             if closed or now - transaction.rested_at >= rest_s:
                 wire, transaction.wire, transaction.failed = transaction.wire, None, "ROLLEDBACK"
-                moves.release(floor, wire, now, touched=transaction.touched)
+                completion.release(floor, wire, now, touched=transaction.touched)
 
 
 def check_wires(floor, now: float) -> None:
@@ -148,7 +132,7 @@
         >= (OWN_CUTOFF_S if wire.open else DIAL_CUTOFF_S)
     ]
     for wire in late:
-        losses.wire_lost(floor, wire, "it went silent", now)
+        connection_loss.wire_lost(floor, wire, "it went silent", now)
 
 
 def warm(floor, now: float) -> None:
@@ -162,10 +146,10 @@
         if backend.service in wanted and not backend.wires and not closed and not scarce:
             floor.dial(backend, now)
         for wire in [wire for wire in backend.idle if scarce and now - wire.idle_since >= SCARCE_S]:
-            moves.drop(floor, wire)
+            completion.drop(floor, wire)
         spare = max(0, len(backend.wires) - floor.yard.cap(backend, now))
         for wire in [wire for wire in backend.idle if now - wire.idle_since >= SPARE_S][:spare]:
-            moves.drop(floor, wire)
+            completion.drop(floor, wire)
 
 
 def sweep(floor, now: float) -> None:
@@ -220,17 +204,17 @@
             for ground in floor.yard.grounds.values():
                 ground.rotation.frozen = True
         elif action == "close_idle":
-            moves.close_idle(floor, now)
+            completion.close_idle(floor, now)
         elif action == "end_transactions":
             for session in list(floor.sessions.values()):
                 transaction = session.transaction
                 if transaction and session.errand is None:
                     if transaction.wire:
-                        moves.release(floor, transaction.wire, now, touched=True)
+                        completion.release(floor, transaction.wire, now, touched=True)
                     transaction.wire = None
                     transaction.failed = transaction.failed or "ROLLEDBACK"
         elif action == "end_asked":
             for errand in list(floor.active):
-                losses.errand_ended(floor, errand, now)
+                connection_loss.errand_ended(floor, errand, now)
         elif action == "exit":
             floor.effects.append(("exit",))
--- a/sumacloom/common/settings.py
+++ b/sumacloom/settings.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from .results import Err, Ok, Result, mishap
+from sumacloom.errors import Err, Ok, Result, mishap
 
 VARIABLE = "SUMACLOOM_NODE_FILE"
 
--- a/sumacloom/charts/__init__.py
+++ b/sumacloom/state_machines/__init__.py
@@ -13,7 +13,7 @@
 class Chart(NamedTuple):
     """A chart as read from its file.
 
-    >>> load_chart("replica").start
+    >>> load_chart("replica_health").start
     'outside'
     """
 
@@ -24,7 +24,7 @@
     def step(self, state: str, event: str) -> tuple[str, list[str]]:
         """The next state and the actions to do; an event the state doesn't know changes nothing.
 
-        >>> load_chart("replica").step("inside", "hard")[0]
+        >>> load_chart("replica_health").step("inside", "hard")[0]
         'outside'
         """
         line = self.states[state].get(event) or self.states.get("*", {}).get(event)
@@ -35,7 +35,7 @@
 def load_chart(name: str) -> Chart:
     """Reads and checks the chart file of that name.
 
-    >>> load_chart("leaving").start
+    >>> load_chart("graceful_shutdown").start
     'serving'
     """
     path = os.path.join(os.path.dirname(__file__), name + ".json")
--- a/sumacloom/courier/links.py
+++ b/sumacloom/transport/link.py
@@ -5,7 +5,7 @@
 
 import curio
 
-from .messages import Unframer, frame
+from sumacloom.transport.messages import Unframer, frame
 
 USER_TIMEOUT_MS = 1500
 MOST_PENDING = 4 << 20
--- a/sumacloom/courier/messages.py
+++ b/sumacloom/transport/messages.py
@@ -4,8 +4,7 @@
 
 import msgspec
 
-from ..agreement.configuration import Configuration
-from ..agreement.messages import (
+from sumacloom.consensus.messages import (
     Accept,
     Accepted,
     Copy,
@@ -21,8 +20,17 @@
     Tell,
     Told,
 )
-from ..common.types import Ballot
-from .news import AccessNews, Digest, LaneNews, ListenNews, PoolNews, Record, Sighting
+from sumacloom.consensus.quorum import Configuration
+from sumacloom.transport.updates import (
+    AccessNews,
+    Digest,
+    LaneNews,
+    ListenNews,
+    PoolNews,
+    Record,
+    Sighting,
+)
+from sumacloom.types import Ballot
 
 
 class Hello(Message):
--- a/sumacloom/courier/board.py
+++ b/sumacloom/transport/update_cache.py
@@ -2,16 +2,16 @@
 
 import zlib
 
-from ..common.blueprint import (
+from sumacloom.configuration.differences import MARK, differ, patch
+from sumacloom.configuration.model import (
     PACK_FROM,
     Blueprint,
     decode_blueprint,
     pack_blueprint,
     unpack_blueprint,
 )
-from ..common.differences import MARK, differ, patch
-from .messages import News
-from .news import (
+from sumacloom.transport.messages import News
+from sumacloom.transport.updates import (
     AccessNews,
     Digest,
     LaneNews,
--- a/sumacloom/ledger/log.py
+++ b/sumacloom/wal/log.py
@@ -2,9 +2,9 @@
 
 import os
 
-from ..common.logs import Scribe
-from ..common.results import Mishap, mishap
-from .records import Scan, group, pack, scan  # noqa: F401  (pack: the first version's records)
+from sumacloom.errors import Mishap, mishap
+from sumacloom.logs import Scribe
+from sumacloom.wal.framing import Scan, group, pack, scan  # noqa: F401  (pack: the first version's records)
 
 scribe = Scribe("ledger")
 SEGMENT_BYTES = 2 << 20
--- a/tests/model/acceptors.py
+++ b/tests/model/acceptors.py
@@ -7,18 +7,18 @@
 """
 
 import copy
+import itertools
 import random
 
 import msgspec
 
-from sumacloom.agreement.acceptor import Acceptor
-from sumacloom.agreement.configuration import Configuration
-from sumacloom.agreement.membership import KEY, again, follow_on
-from sumacloom.agreement.messages import Accept, Prepare, Reconfigured, Refused, Tell, Told
-from sumacloom.agreement.proposer import Ballots, Proposal
-from sumacloom.agreement.values import BlueprintValue, decode, put_blueprint
-from sumacloom.common.types import NO_BALLOT
-import itertools
+from sumacloom.consensus.acceptor import Acceptor
+from sumacloom.consensus.messages import Accept, Prepare, Reconfigured, Refused, Tell, Told
+from sumacloom.consensus.proposal import Ballots, Proposal
+from sumacloom.consensus.quorum import Configuration
+from sumacloom.consensus.reconfiguration import KEY, again, follow_on
+from sumacloom.controller.registers.values import BlueprintValue, decode, put_blueprint
+from sumacloom.types import NO_BALLOT
 
 FIRST = Configuration(1, (), ("a", "b", "c"))
 JOINT = Configuration(2, ("a", "b", "c"), ("b", "c", "d"))
--- a/tests/model/faults.py
+++ b/tests/model/faults.py
@@ -4,11 +4,11 @@
 
 import msgspec
 
-from sumacloom.agreement.acceptor import Acceptor
-from sumacloom.agreement.configuration import Configuration
-from sumacloom.agreement.messages import Accept, Promise, Query, Told
-from sumacloom.agreement.proposer import Proposal
-from sumacloom.common.types import NO_BALLOT
+from sumacloom.consensus.acceptor import Acceptor
+from sumacloom.consensus.messages import Accept, Promise, Query, Told
+from sumacloom.consensus.proposal import Proposal
+from sumacloom.consensus.quorum import Configuration
+from sumacloom.types import NO_BALLOT
 
 WITHOUT = {}
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -21,9 +21,9 @@
 
 import curio
 
-from sumacloom.common import http
-from sumacloom.common.lines import LineSplitter, encode
-from sumacloom.courier.links import dial, listen
+from sumacloom import http
+from sumacloom.line_protocol import LineSplitter, encode
+from sumacloom.transport.link import dial, listen
 
 ROOT = conftest.ROOT
 ZONES = {"zone-a": "north", "zone-b": "middle", "zone-c": "south"}
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from sumacloom.agreement.configuration import Configuration
-from sumacloom.agreement.contact import CONTACT_S, TOLD_S
-from sumacloom.agreement.messages import Refused
-from sumacloom.agreement.node import ALIVE_S
-from sumacloom.agreement.proposer import BACK_OFF_S, REFUSED_S, Ballots, Proposal
-from sumacloom.common.results import Ok
-from sumacloom.common.types import NO_BALLOT, Ballot
-from sumacloom.courier.messages import PeerBeat
+from sumacloom.consensus.contact import CONTACT_S, TOLD_S
+from sumacloom.consensus.messages import Refused
+from sumacloom.consensus.node import ALIVE_S
+from sumacloom.consensus.proposal import BACK_OFF_S, REFUSED_S, Ballots, Proposal
+from sumacloom.consensus.quorum import Configuration
+from sumacloom.errors import Ok
+from sumacloom.transport.messages import PeerBeat
+from sumacloom.types import NO_BALLOT, Ballot
 
 from .test_voters import Land
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -2,8 +2,7 @@
 
 import pytest
 
-from sumacloom.courier.news import Record
-from sumacloom.registrar.failover import (
+from sumacloom.controller.failover.plans import (
     Announce,
     Ask,
     Fence,
@@ -16,6 +15,7 @@
     read_row,
     replace_dead,
 )
+from sumacloom.transport.updates import Record
 
 
 # ---------------------------------------------------------------- failover
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from sumacloom.common.results import TABLE, exit_code
-from sumacloom.fleet import client, commands
-from sumacloom.fleet.tables import query
+from sumacloom.cli import client, commands
+from sumacloom.cli.tables import query
+from sumacloom.errors import TABLE, exit_code
 
 from .conftest import ROOT
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -3,15 +3,15 @@
 import msgspec
 import pytest
 
-from sumacloom.common.blueprint import pack_blueprint
-from sumacloom.common.settings import Settings
-from sumacloom.counter.member import Member
-from sumacloom.counter.yard import Yard
-from sumacloom.courier.messages import Hello, News, RegistrarBeat, frame
-from sumacloom.courier.news import Record, Sighting
-from sumacloom.registrar.access import Stamps
-from sumacloom.registrar.members import Members
-from sumacloom.registrar.shell import Shell
+from sumacloom.configuration.model import pack_blueprint
+from sumacloom.controller.policy.access import Stamps
+from sumacloom.controller.process import Shell
+from sumacloom.controller.registry.members import Members
+from sumacloom.pooler.membership import Member
+from sumacloom.pooler.server_pools import Yard
+from sumacloom.settings import Settings
+from sumacloom.transport.messages import Hello, News, RegistrarBeat, frame
+from sumacloom.transport.updates import Record, Sighting
 
 from .test_voters import Land
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from sumacloom.ledger import log
-from sumacloom.ledger.log import Ledger, pack
+from sumacloom.wal import log
+from sumacloom.wal.log import Ledger, pack
 
 from .crashes import MemoryDisk
 
--- a/tests/test_listen_command.py
+++ b/tests/test_listen_command.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from sumacloom.fleet import commands
-from sumacloom.fleet import listening as taking
+from sumacloom.cli import commands
+from sumacloom.cli import feed_reader as taking
 
 from .test_fleet import Stub, refusal, reply
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -4,9 +4,8 @@
 from hypothesis import Phase, settings
 from hypothesis.stateful import run_state_machine_as_test
 
-from sumacloom.agreement import node as node_module
-from sumacloom.agreement.configuration import Configuration
-from sumacloom.agreement.messages import (
+from sumacloom.consensus import node as node_module
+from sumacloom.consensus.messages import (
     Accept,
     Decided,
     Prepare,
@@ -17,8 +16,9 @@
     Tell,
     Told,
 )
-from sumacloom.common.types import NO_BALLOT, Ballot
-from sumacloom.courier.messages import Unframer, frame
+from sumacloom.consensus.quorum import Configuration
+from sumacloom.transport.messages import Unframer, frame
+from sumacloom.types import NO_BALLOT, Ballot
 
 from .model.acceptors import Changing, Lossy, Violation
 from .model.explore import explore
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -6,9 +6,9 @@
 import curio
 import pytest
 
-from sumacloom.common import http
-from sumacloom.courier.board import Board
-from sumacloom.registrar.roster import Roster
+from sumacloom import http
+from sumacloom.controller.registry.backends import Roster
+from sumacloom.transport.update_cache import Board
 
 from .stage import Stage
 
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -5,9 +5,9 @@
 import msgspec
 import pytest
 
-from sumacloom.agreement.acceptor import Acceptor, Slot
-from sumacloom.agreement.proposer import Ballots, Proposal
-from sumacloom.agreement.values import (
+from sumacloom.consensus.acceptor import Acceptor, Slot
+from sumacloom.consensus.proposal import Ballots, Proposal
+from sumacloom.controller.registers.values import (
     BlueprintValue,
     DutyValue,
     EvacuationsValue,
@@ -17,8 +17,8 @@
     keep,
     put_blueprint,
 )
-from sumacloom.common.types import NO_BALLOT, Ballot
-from sumacloom.courier.messages import Accept, Configuration, Prepare
+from sumacloom.transport.messages import Accept, Configuration, Prepare
+from sumacloom.types import NO_BALLOT, Ballot
 
 VOTERS = ["a", "b", "c"]
 PANEL = Configuration(1, (), tuple(VOTERS))
--- a/tests/test_schedules.py
+++ b/tests/test_schedules.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sumacloom.counter.outcomes import NOT_RUN
+from sumacloom.pooler.server_results import NOT_RUN
 
 from .stage import Stage
 
--- a/tests/test_spool.py
+++ b/tests/test_spool.py
@@ -3,8 +3,8 @@
 import msgspec
 import pytest
 
-from sumacloom.courier.messages import Held, Intent
-from sumacloom.registrar.spool import may_leave, take_intent, unhanded
+from sumacloom.controller.delivery.log import may_leave, take_intent, unhanded
+from sumacloom.transport.messages import Held, Intent
 
 from .test_membership import NEW, A, B, C, Fleet
 
--- a/tests/test_undo.py
+++ b/tests/test_undo.py
@@ -6,12 +6,18 @@
 import msgspec
 import pytest
 
-from sumacloom.agreement.values import BlueprintValue, decode, encode, put_blueprint, undo_blueprint
-from sumacloom.common.blueprint import decode_blueprint, pack_blueprint, unpack_blueprint
-from sumacloom.courier.board import Board, body_digest
-from sumacloom.courier.messages import News
-from sumacloom.fleet import commands
-from sumacloom.registrar.undo import one_per_node
+from sumacloom.cli import commands
+from sumacloom.configuration.model import decode_blueprint, pack_blueprint, unpack_blueprint
+from sumacloom.controller.admin.undo_calls import one_per_node
+from sumacloom.controller.registers.values import (
+    BlueprintValue,
+    decode,
+    encode,
+    put_blueprint,
+    undo_blueprint,
+)
+from sumacloom.transport.messages import News
+from sumacloom.transport.update_cache import Board, body_digest
 
 from .stage import BLUEPRINT, Stage
 from .test_fleet import Stub, reply
--- a/tests/test_wire_format.py
+++ b/tests/test_wire_format.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from sumacloom.courier.messages import ENCODER, KINDS, Unframer, frame
+from sumacloom.transport.messages import ENCODER, KINDS, Unframer, frame
 
 ROWS = json.loads((pathlib.Path(__file__).parent / "data" / "messages.json").read_text())
 
--- a/tests/trial.py
+++ b/tests/trial.py
@@ -9,8 +9,8 @@
 
 import curio
 
-from sumacloom.common.lines import LineSplitter, encode
-from sumacloom.courier.links import dial
+from sumacloom.line_protocol import LineSplitter, encode
+from sumacloom.transport.link import dial
 
 from .standins import BLUEPRINT, CTL, FE, ROOT, ZONES, Service, start
 
