--- a/capacity/__init__.py
+++ b/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Measures how the control plane's costs grow: real registrars over loopback, hollow counters, no clients."""
+"""Measures how the control plane's costs grow: real controllers over loopback, hollow poolers, no clients."""
--- a/capacity/counted.py
+++ b/capacity/counted.py
@@ -1,6 +1,6 @@
 """Runs a real daemon and counts the messages and bytes of its links; SIGUSR1 writes the counts to a file.
 
-python3 -m capacity.counted registrar COUNTS_FILE
+python3 -m capacity.counted controller COUNTS_FILE
 """
 
 import json
@@ -17,10 +17,10 @@
 
 def count_links() -> None:
     """Puts the counting around the links' own code."""
-    frame, feed = link.frame, link.Unframer.feed
+    encode_frame, feed = link.encode_frame, link.FrameDecoder.feed
 
     def counted_frame(message):
-        data = frame(message)
+        data = encode_frame(message)
         COUNTS["messages_out"] += 1
         COUNTS["bytes_out"] += len(data)
         return data
@@ -31,7 +31,7 @@
         COUNTS["bytes_in"] += len(data)
         return found
 
-    link.frame, link.Unframer.feed = counted_frame, counted_feed
+    link.encode_frame, link.FrameDecoder.feed = counted_frame, counted_feed
 
 
 def main(role: str, path: str) -> int:
--- a/capacity/fleet.py
+++ b/capacity/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet for one measurement: real registrars, hollow counters in a few processes, beats of backends."""
+"""A fleet for one measurement: real controllers, hollow poolers in a few processes, beats of backends."""
 
 import http.client
 import json
@@ -12,20 +12,20 @@
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 CTL, PORTS, PER_PROCESS, BEAT_S = 17200, (17210, 17225), 50, 1.2
-REGISTRARS = 3
+CONTROLLERS = 3
 TICKS = os.sysconf("SC_CLK_TCK")
 NET = f"127.{32 + os.getpid() % 64}.{os.getpid() // 64 % 64}"  # of this run alone: two may share a machine
 
 
 def settings(number: int, folder: str) -> str:
-    """A registrar's settings.
+    """A controller's settings.
 
     >>> "voting = true" in settings(1, "/tmp/x")
     True
     """
-    seeds = json.dumps([f"{NET}.{one}:{CTL}" for one in range(1, REGISTRARS + 1)])
+    seeds = json.dumps([f"{NET}.{one}:{CTL}" for one in range(1, CONTROLLERS + 1)])
     return f'''node = "core-{number}"
-role = "registrar"
+role = "controller"
 ip = "{NET}.{number}"
 az = "zone-{"abc"[number - 1]}"
 portRange = [{PORTS[0]}, {PORTS[1]}]
@@ -49,10 +49,10 @@
     path: str,
     body: bytes = b"",
     headers: dict | None = None,
-    cutoff_s: float = 5.0,
+    timeout_s: float = 5.0,
 ):
-    """A call to a registrar: (status, body)."""
-    link = http.client.HTTPConnection(f"{NET}.{number}", CTL, timeout=cutoff_s)
+    """A call to a controller: (status, body)."""
+    link = http.client.HTTPConnection(f"{NET}.{number}", CTL, timeout=timeout_s)
     try:
         link.request(method, path, body or None, headers or {})
         reply = link.getresponse()
@@ -66,11 +66,11 @@
 class Fleet:
     """Starts everything; `close` ends all of it."""
 
-    def __init__(self, counters: int, backends: int, routes: int):
-        self.counters, self.backends, self.routes, self.ver = counters, backends, routes, 0
+    def __init__(self, poolers: int, backends: int, routes: int):
+        self.poolers, self.backends, self.routes, self.ver = poolers, backends, routes, 0
         self.folder = tempfile.TemporaryDirectory()
         self.over = threading.Event()
-        self.registrars, self.hollows, self.beaters = [], [], []
+        self.controllers, self.hollows, self.beaters = [], [], []
 
     def __enter__(self):
         try:
@@ -84,34 +84,34 @@
         self.close()
 
     def start(self) -> None:
-        """Registrars first, then counters, then the backends' beats."""
+        """Controllers first, then poolers, then the backends' beats."""
         environment = {
             **os.environ,
             "PYTHONPATH": os.pathsep.join([ROOT, os.path.join(ROOT, "target", "deps")]),
         }
-        for number in range(1, REGISTRARS + 1):
+        for number in range(1, CONTROLLERS + 1):
             path = os.path.join(self.folder.name, f"{number}.toml")
             with open(path, "w", encoding="utf-8") as file:
                 file.write(settings(number, self.folder.name))
-            self.registrars.append(
+            self.controllers.append(
                 subprocess.Popen(
-                    [sys.executable, "-m", "capacity.counted", "registrar", path + ".counts"],
+                    [sys.executable, "-m", "capacity.counted", "controller", path + ".counts"],
                     cwd=ROOT,
                     env={**environment, "SUMACLOOM_NODE_FILE": path},
                     stderr=subprocess.DEVNULL,
                 )
             )
         self.until(
-            "the registrars answer",
+            "the controllers answer",
             lambda: all(
                 call(number, "GET", "/api/admin/registrars")[0] == 200
-                for number in range(1, REGISTRARS + 1)
+                for number in range(1, CONTROLLERS + 1)
             ),
         )
         self.put()
-        seeds = ",".join(f"{NET}.{number}:{CTL}" for number in range(1, REGISTRARS + 1))
-        for first in range(0, self.counters, PER_PROCESS):
-            count = min(PER_PROCESS, self.counters - first)
+        seeds = ",".join(f"{NET}.{number}:{CTL}" for number in range(1, CONTROLLERS + 1))
+        for first in range(0, self.poolers, PER_PROCESS):
+            count = min(PER_PROCESS, self.poolers - first)
             self.hollows.append(
                 subprocess.Popen(
                     [sys.executable, "-m", "capacity.hollow", str(first), str(count), seeds],
@@ -123,27 +123,27 @@
                     text=True,
                 )
             )
-        for share in range(REGISTRARS):
-            beater = threading.Thread(target=self.beat, args=(share,), daemon=True)
+        for share in range(CONTROLLERS):
+            beater = threading.Thread(target=self.heartbeat, args=(share,), daemon=True)
             beater.start()
             self.beaters.append(beater)
         self.until(
-            "all counters hold all",
+            "all poolers hold all",
             lambda: (
                 all(
                     one["attached"] == one["holding"] and one["records"] >= self.backends
                     for one in self.states()
                 )
-                and sum(one["attached"] for one in self.states()) == self.counters
+                and sum(one["attached"] for one in self.states()) == self.poolers
             ),
             120.0,
         )
 
     def until(self, what: str, check, seconds: float = 20.0) -> None:
         """Waits for something to be so."""
-        cutoff = time.monotonic() + seconds
+        deadline = time.monotonic() + seconds
         while not check():
-            if time.monotonic() > cutoff:
+            if time.monotonic() > deadline:
                 raise RuntimeError(f"{what}: not within {seconds:.0f} s")
             time.sleep(0.1)
 
@@ -173,13 +173,13 @@
         )
         return time.monotonic()
 
-    def beat(self, share: int) -> None:
-        """Every backend says that it is there, once in 1.2 s, over one connection for each registrar."""
+    def heartbeat(self, share: int) -> None:
+        """Every backend says that it is there, once in 1.2 s, over one connection for each controller."""
         seq = 0
         link = http.client.HTTPConnection(f"{NET}.{share + 1}", CTL, timeout=5.0)
         while not self.over.is_set():
             began, seq = time.monotonic(), seq + 1
-            for number in range(share, self.backends, REGISTRARS):
+            for number in range(share, self.backends, CONTROLLERS):
                 body = json.dumps(
                     {
                         "svc": f"s{number // 3}",
@@ -203,21 +203,21 @@
             self.over.wait(max(0.0, BEAT_S - (time.monotonic() - began)))
 
     def states(self) -> list[dict]:
-        """What the processes of the hollow counters tell."""
+        """What the processes of the hollow poolers tell."""
         for process in self.hollows:
             process.stdin.write("\n")
             process.stdin.flush()
         return [json.loads(process.stdout.readline()) for process in self.hollows]
 
     def registrar_state(self) -> list[dict]:
-        """Processor time, memory and counts of each registrar."""
+        """Processor time, memory and counts of each controller."""
         found = []
-        for number, process in enumerate(self.registrars, 1):
+        for number, process in enumerate(self.controllers, 1):
             path = os.path.join(self.folder.name, f"{number}.toml.counts")
             if os.path.exists(path):
                 os.remove(path)
             process.send_signal(signal.SIGUSR1)
-            self.until("a registrar tells its counts", lambda path=path: os.path.exists(path))
+            self.until("a controller tells its counts", lambda path=path: os.path.exists(path))
             with open(path, encoding="utf-8") as file:
                 counts = json.load(file)
             with open(f"/proc/{process.pid}/stat", encoding="ascii") as file:
@@ -236,9 +236,9 @@
             beater.join(6.0)
         for process in self.hollows:
             process.stdin.close()
-        for process in [*self.hollows, *self.registrars]:
+        for process in [*self.hollows, *self.controllers]:
             process.terminate()
-        for process in [*self.hollows, *self.registrars]:
+        for process in [*self.hollows, *self.controllers]:
             try:
                 process.wait(5.0)
             except subprocess.TimeoutExpired:
--- a/capacity/hollow.py
+++ b/capacity/hollow.py
@@ -1,4 +1,4 @@
-"""Hollow counters: the real membership and news code of many counters in one process, without clients or wires.
+"""Hollow poolers: the real membership and news code of many poolers in one process, without clients or wires.
 
 python3 -m capacity.hollow FIRST COUNT SEEDS    one line of JSON for each line on standard input
 """
@@ -9,9 +9,9 @@
 import sys
 import time
 
-from sumacloom.logs import start_logs
-from sumacloom.pooler.membership import Member
-from sumacloom.pooler.server_pools import Yard
+from sumacloom.logs import configure_logging
+from sumacloom.pooler.membership import ControllerSession
+from sumacloom.pooler.server_pools import ServerPools
 from sumacloom.settings import Settings
 
 from .counted import COUNTS, count_links
@@ -21,7 +21,7 @@
 
 
 def address(number: int, seed: str) -> str:
-    """The loopback address of a hollow counter, in a net that goes with its registrars'.
+    """The loopback address of a hollow pooler, in a net that goes with its controllers'.
 
     >>> address(0, "127.40.3.1:17200"), address(300, "127.40.3.1:17200")
     ('127.104.0.1', '127.104.1.51')
@@ -30,21 +30,27 @@
 
 
 class Hollow:
-    """One counter's membership and board."""
+    """One pooler's membership and board."""
 
     def __init__(self, number: int, seeds: list[str]):
         ip = address(number, seeds[0])
         self.settings = Settings(
-            f"edge-{number:05d}", "counter", ip, ZONES[number % 3], seeds=seeds, port_range=PORTS
+            f"edge-{number:05d}", "pooler", ip, ZONES[number % 3], seeds=seeds, port_range=PORTS
         )
         self.took = {}  # blueprint: when it came
-        self.member = Member(
-            self.settings, time.monotonic, self.take_news, Yard(self.settings), [], dict, number + 1
+        self.controller_session = ControllerSession(
+            self.settings,
+            time.monotonic,
+            self.apply_update,
+            ServerPools(self.settings),
+            [],
+            dict,
+            number + 1,
         )
 
-    async def take_news(self, _news) -> None:
+    async def apply_update(self, _news) -> None:
         """Notes when a blueprint came."""
-        found = self.member.board.blueprint
+        found = self.controller_session.cache.configuration
         if found:
             self.took.setdefault(found.ver, time.monotonic())
 
@@ -64,29 +70,29 @@
         "cpu_s": used.ru_utime + used.ru_stime,
         "rss_kb": resident,
         "pid": os.getpid(),
-        "attached": sum(one.member.session is not None for one in hollows),
-        "direct": sum(not one.member.parent_address for one in hollows),
+        "attached": sum(one.controller_session.session is not None for one in hollows),
+        "direct": sum(not one.controller_session.parent_address for one in hollows),
         "blueprint": newest,
         "holding": sum(newest in one.took for one in hollows),
         "last_at": max((one.took[newest] for one in hollows if newest in one.took), default=0.0),
-        "records": min((len(one.member.board.records) for one in hollows), default=0),
+        "records": min((len(one.controller_session.cache.records) for one in hollows), default=0),
     }
 
 
 async def main(first: int, count: int, seeds: list[str]) -> None:
-    """Runs hollow counters, and answers each line on standard input with the state."""
+    """Runs hollow poolers, and answers each line on standard input with the state."""
     import curio
 
     hollows = [Hollow(number, seeds) for number in range(first, first + count)]
     for one in hollows:
-        await curio.spawn(one.member.serve_children, daemon=True)
-        await curio.spawn(one.member.attach, daemon=True)
+        await curio.spawn(one.controller_session.serve_children, daemon=True)
+        await curio.spawn(one.controller_session.attach, daemon=True)
 
     async def feed():
         while True:
             await curio.sleep(0.05)
             for one in hollows:
-                one.member.feed_children()
+                one.controller_session.send_to_children()
 
     await curio.spawn(feed, daemon=True)
     while await curio.run_in_thread(sys.stdin.readline):
@@ -96,6 +102,6 @@
 if __name__ == "__main__":
     import curio
 
-    start_logs("ERROR", "hollow")
+    configure_logging("ERROR", "hollow")
     count_links()
     curio.run(main, int(sys.argv[1]), int(sys.argv[2]), sys.argv[3].split(","))
--- a/capacity/load.py
+++ b/capacity/load.py
@@ -1,4 +1,4 @@
-"""One real counter under load on loopback: processor time per statement, memory per session."""
+"""One real pooler under load on loopback: processor time per statement, memory per session."""
 
 import json
 import os
@@ -14,19 +14,19 @@
 from sumacloom.line_protocol import LineSplitter, encode
 from sumacloom.transport.link import dial, listen
 
-from .fleet import CTL, NET, PORTS, REGISTRARS, ROOT, TICKS, Fleet, call
+from .fleet import CONTROLLERS, CTL, NET, PORTS, ROOT, TICKS, Fleet, call
 
 FE, READY, BACKEND = 17230, 17231, 17232
 IP, PAIR = f"{NET}.11", (f"{NET}.21", f"{NET}.22")
 
 
 def settings(folder: str) -> str:
-    """The counter's settings file; gives its path."""
-    path = os.path.join(folder, "counter.toml")
-    seeds = json.dumps([f"{NET}.{one}:{CTL}" for one in range(1, REGISTRARS + 1)])
+    """The pooler's settings file; gives its path."""
+    path = os.path.join(folder, "pooler.toml")
+    seeds = json.dumps([f"{NET}.{one}:{CTL}" for one in range(1, CONTROLLERS + 1)])
     with open(path, "w", encoding="utf-8") as file:
         file.write(f'''node = "edge-real"
-role = "counter"
+role = "pooler"
 ip = "{IP}"
 az = "zone-a"
 rgn = "north"
@@ -107,7 +107,7 @@
 
 
 async def play(pid: int, sessions: int, pause_s: float, seconds: float) -> dict:
-    """Sessions for a while; what the counter used."""
+    """Sessions for a while; what the pooler used."""
     asked, over = [0], [False]
     tasks = [await curio.spawn(session, asked, over, pause_s) for _session in range(sessions)]
     await curio.sleep(1.0 + sessions / 1000)
@@ -145,11 +145,11 @@
 
 
 def run(sizes: list[tuple], seconds: float) -> list[dict]:
-    """Starts registrars and one real counter, and measures."""
+    """Starts controllers and one real pooler, and measures."""
     with Fleet(0, 0, 1) as fleet, tempfile.TemporaryDirectory() as folder:
         over = threading.Event()
 
-        def beat():
+        def heartbeat():
             seq = 0
             while not over.is_set():
                 seq += 1
@@ -170,32 +170,32 @@
                     call(1, "PUT", f"/api/instances/i-{number}", body.encode())
                 over.wait(1.0)
 
-        beater = threading.Thread(target=beat, daemon=True)
+        beater = threading.Thread(target=heartbeat, daemon=True)
         beater.start()
         environment = {
             **os.environ,
             "PYTHONPATH": os.pathsep.join([ROOT, os.path.join(ROOT, "target", "deps")]),
         }
-        counter = subprocess.Popen(
-            [sys.executable, "-m", "sumacloom", "counter"],
+        pooler = subprocess.Popen(
+            [sys.executable, "-m", "sumacloom", "pooler"],
             cwd=ROOT,
             stderr=subprocess.DEVNULL,
             env={**environment, "SUMACLOOM_NODE_FILE": settings(folder)},
         )
         try:
             fleet.until(
-                "the counter is ready",
+                "the pooler is ready",
                 lambda: "edge-real" in str(call(1, "GET", "/api/admin/counters")[1]),
                 20.0,
             )
             time.sleep(1.0)
-            return curio.run(measure, counter.pid, sizes, seconds)
+            return curio.run(measure, pooler.pid, sizes, seconds)
         finally:
             over.set()
             beater.join(6.0)
-            counter.send_signal(signal.SIGTERM)
+            pooler.send_signal(signal.SIGTERM)
             try:
-                counter.wait(8.0)
+                pooler.wait(8.0)
             except subprocess.TimeoutExpired:
-                counter.kill()
-                counter.wait()
+                pooler.kill()
+                pooler.wait()
--- a/capacity/measure.py
+++ b/capacity/measure.py
@@ -1,4 +1,4 @@
-"""Measures the control plane's slopes, and one real counter; writes the figures that docs/CAPACITY.md cites.
+"""Measures the control plane's slopes, and one real pooler; writes the figures that docs/CAPACITY.md cites.
 
 python3 -m capacity.measure                      the whole, some four minutes
 python3 -m capacity.measure --small              a small run, as the tests play it
@@ -13,21 +13,21 @@
 from . import fleet as fleets
 from .fleet import Fleet
 
-MOST_COUNTERS, MOST_BACKENDS, MOST_ROUTES, MOST_SESSIONS = 1000, 3000, 10_000, 4000
+MAX_POOLERS, MOST_BACKENDS, MOST_ROUTES, MOST_SESSIONS = 1000, 3000, 10_000, 4000
 SHARE_OF_MEMORY, MB_EACH = 0.5, 2.0
 USAGE = 2
 
 
-def check(counters: list[int], backends: list[int], routes: list[int], sessions: list[int]) -> str:
+def check(poolers: list[int], backends: list[int], routes: list[int], sessions: list[int]) -> str:
     """Why these counts can't be measured here; nothing if they can.
 
     >>> check([50], [10], [10], [10])
     ''
     >>> check([0], [10], [10], [10])
-    'counters must be from 1 to 1000, not 0'
+    'poolers must be from 1 to 1000, not 0'
     """
     for name, values, least, most in (
-        ("counters", counters, 1, MOST_COUNTERS),
+        ("poolers", poolers, 1, MAX_POOLERS),
         ("backends", backends, 1, MOST_BACKENDS),
         ("routes", routes, 1, MOST_ROUTES),
         ("sessions", sessions, 1, MOST_SESSIONS),
@@ -36,9 +36,9 @@
         if wrong or not values:
             return f"{name} must be from {least} to {most}, not {wrong[0] if wrong else 'nothing'}"
     have = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / 2**20
-    need = max(counters) * MB_EACH + 400
+    need = max(poolers) * MB_EACH + 400
     if need > have * SHARE_OF_MEMORY:
-        return f"{max(counters)} counters need some {need:.0f} MB, more than half of this machine's {have:.0f} MB"
+        return f"{max(poolers)} poolers need some {need:.0f} MB, more than half of this machine's {have:.0f} MB"
     return ""
 
 
@@ -55,26 +55,30 @@
     ]
     return {
         **{
-            name: round(sum(new[name] - old[name] for old, new in zip(before, after)) / seconds, 4)
+            name: round(
+                sum(new[name] - old[name] for old, new in zip(before, after, strict=True))
+                / seconds,
+                4,
+            )
             for name in names
         },
         "rss_kb": sum(one["rss_kb"] for one in after),
     }
 
 
-def one(counters: int, backends: int, routes: int, seconds: float) -> dict:
+def one(poolers: int, backends: int, routes: int, seconds: float) -> dict:
     """A fleet of one size: a quiet while, then a change of the configuration."""
     began = time.monotonic()
-    with Fleet(counters, backends, routes) as fleet:
+    with Fleet(poolers, backends, routes) as fleet:
         ready = time.monotonic() - began
         time.sleep(2.0)
-        registrars, hollows, at = fleet.registrar_state(), fleet.states(), time.monotonic()
+        controllers, hollows, at = fleet.registrar_state(), fleet.states(), time.monotonic()
         time.sleep(seconds)
         quiet_s = time.monotonic() - at
         later, hollow_later = fleet.registrar_state(), fleet.states()
         quiet = {
-            "registrars": delta(registrars, later, quiet_s),
-            "counters": delta(hollows, hollow_later, quiet_s),
+            "controllers": delta(controllers, later, quiet_s),
+            "poolers": delta(hollows, hollow_later, quiet_s),
         }
         acked = fleet.put()
         fleet.until(
@@ -87,9 +91,9 @@
         )
         changed = fleet.states()
         rest = time.monotonic() - at - quiet_s
-        news = delta(hollow_later, changed, 1.0)
+        update = delta(hollow_later, changed, 1.0)
         return {
-            "counters": counters,
+            "poolers": poolers,
             "backends": backends,
             "routes": routes,
             "ready_s": round(ready, 2),
@@ -97,7 +101,7 @@
             "quiet": quiet,
             "change": {
                 "last_s": round(max(one["last_at"] for one in changed) - acked, 3),
-                "bytes_in": max(0, round(news["bytes_in"] - rest * quiet["counters"]["bytes_in"])),
+                "bytes_in": max(0, round(update["bytes_in"] - rest * quiet["poolers"]["bytes_in"])),
             },
             "processes": len(fleet.hollows),
         }
@@ -128,19 +132,19 @@
 def fits(runs: list[dict], base: tuple[int, int, int]) -> dict:
     """The slope of each figure along each count, the other two at their base."""
     found = {}
-    for place, name in enumerate(("counters", "backends", "routes")):
+    for place, name in enumerate(("poolers", "backends", "routes")):
         along = [
             run
             for run in runs
             if all(
-                (run["counters"], run["backends"], run["routes"])[other] == base[other]
+                (run["poolers"], run["backends"], run["routes"])[other] == base[other]
                 for other in range(3)
                 if other != place
             )
         ]
         found[name] = {
             f"{role} {figure}": slope([(run[name], run["quiet"][role][figure]) for run in along])
-            for role in ("registrars", "counters")
+            for role in ("controllers", "poolers")
             for figure in (
                 "cpu_s",
                 "messages_in",
@@ -159,7 +163,7 @@
 
 def main(
     *,
-    counters: list[int] = [50, 100, 200, 400],
+    poolers: list[int] = [50, 100, 200, 400],
     backends: list[int] = [60, 300, 900],
     routes: list[int] = [90, 900, 2700],
     sessions: list[int] = [100, 500, 1000, 2000],
@@ -167,19 +171,19 @@
     out: str = "docs/capacity.json",
     small: bool = False,
 ) -> int:
-    """Measures slopes over real registrars and hollow counters on loopback; ends all that it starts.
+    """Measures slopes over real controllers and hollow poolers on loopback; ends all that it starts.
 
-    :param counters: how many counters, one fleet after the other; the first is the base of the other counts
+    :param poolers: how many poolers, one fleet after the other; the first is the base of the other counts
     :param backends: how many backends
     :param routes: how many routes
-    :param sessions: how many sessions on one real counter
+    :param sessions: how many sessions on one real pooler
     :param seconds: how long each fleet is watched
     :param out: the file for the figures
     :param small: a small run, whatever the counts
     """
     if small:
-        counters, backends, routes, sessions, seconds = [6, 12], [6, 12], [6, 12], [5, 10], 1.0
-    wrong = check(counters, backends, routes, sessions) or (
+        poolers, backends, routes, sessions, seconds = [6, 12], [6, 12], [6, 12], [5, 10], 1.0
+    wrong = check(poolers, backends, routes, sessions) or (
         "" if 0 < seconds <= 60 else "seconds must be above 0, 60 at most"
     )
     if wrong:
@@ -189,10 +193,10 @@
 
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, 20_000), hard))
-    base = (counters[0], backends[0], routes[0])
+    base = (poolers[0], backends[0], routes[0])
     sizes = dict.fromkeys(
         [
-            *((count, *base[1:]) for count in counters),
+            *((count, *base[1:]) for count in poolers),
             *((base[0], count, base[2]) for count in backends),
             *((*base[:2], count) for count in routes),
         ]
@@ -203,11 +207,11 @@
         print(json.dumps(runs[-1]), flush=True)
     real = load.run([(count, 0.05 if count < 200 else count / 4000) for count in sessions], seconds)
     result = {
-        "registrars": fleets.REGISTRARS,
+        "controllers": fleets.CONTROLLERS,
         "seconds": seconds,
         "runs": runs,
         "slopes": fits(runs, base),
-        "counter": {
+        "pooler": {
             "runs": real,
             "cpu_s a statement": slope([(one["statements"], one["cpu_s"]) for one in real]),
             "rss_kb a session": slope([(one["sessions"], one["rss_kb"]) for one in real]),
--- a/sumacloom/__main__.py
+++ b/sumacloom/__main__.py
@@ -1,16 +1,18 @@
-"""The programs: `python3 -m sumacloom counter`, `registrar`, `fleet`."""
+"""The programs: `python3 -m sumacloom pooler`, `controller` and `fleet`."""
 
 import os
 import sys
 
-DEPS = os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "target", "deps")
-if os.path.isdir(DEPS) and DEPS not in sys.path:
-    sys.path.insert(0, DEPS)
+DEPENDENCIES = os.path.join(
+    os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "target", "deps"
+)
+if os.path.isdir(DEPENDENCIES) and DEPENDENCIES not in sys.path:
+    sys.path.insert(0, DEPENDENCIES)
 
 
 def main(arguments: list[str]) -> int:
-    """Runs a program; the bare daemons skip the command line's parser, which is slow to import."""
-    if arguments in (["counter"], ["registrar"]):
+    """Runs a program; bare daemons skip the command line's parser, which is slow to import."""
+    if arguments in (["pooler"], ["controller"]):
         from sumacloom.daemon import run_daemon
 
         return run_daemon(arguments[0])
--- a/sumacloom/cli/calls.py
+++ b/sumacloom/cli/calls.py
@@ -1,88 +1,116 @@
-"""How commands call the registrars and end."""
+"""How commands call the controllers, and how they end."""
 
+import functools
 import json
 import sys
+import time
+from collections.abc import Callable
+from typing import Any, NoReturn, ParamSpec, TypeVar
 
 from sumacloom.cli import client
-from sumacloom.cli.tables import as_text
-from sumacloom.errors import Err, Ok, Result, exit_code, mishap
+from sumacloom.cli.tables import format_rows
+from sumacloom.errors import LocalViewError, SumacloomError
 
+Parameters = ParamSpec("Parameters")
+Json = TypeVar("Json", dict, list)
+Rows = list[dict[str, Any]]
 
-def finish(result: Result, show=None) -> int:
-    """Prints a result for people, or one sentence with its number; gives the exit code.
+POLL_S = 0.2
 
-    >>> finish(Ok("done"), print)
-    done
-    0
-    """
-    if result.is_err():
-        found = result.err()
-        print(f"sumacloom fleet: {found.sentence} (code {found.code})", file=sys.stderr)
-        return exit_code(found.name)
-    if show:
-        show(result.ok())
-    return 0
-
-
-def ask(
-    at: str, method: str, path: str, kind: type, body: bytes = b"", headers: dict | None = None
-) -> Result:
-    """A call to any registrar, its reply read as JSON.
-
-    >>> ask("nowhere", "GET", "/", dict).err().name
-    'usage'
+
+def command(function: Callable[Parameters, int | None]) -> Callable[Parameters, int]:
+    """Makes a command of a function: an error ends it with one sentence, its number and its exit code."""
+
+    @functools.wraps(function)
+    def run(*arguments: Parameters.args, **options: Parameters.kwargs) -> int:
+        try:
+            return function(*arguments, **options) or 0
+        except SumacloomError as error:
+            print_error(error)
+            return error.exit_code
+
+    return run
+
+
+def print_error(error: SumacloomError) -> None:
+    """One error as a line on standard error."""
+    print(f"sumacloom fleet: {error.message} (code {error.code})", file=sys.stderr)
+
+
+def call(
+    at: str,
+    method: str,
+    path: str,
+    kind: type[Json],
+    body: bytes = b"",
+    headers: dict[str, str] | None = None,
+) -> Json:
+    """A call to any controller, its reply parsed as JSON.
+
+    Raises:
+        SumacloomError: the call failed.
     """
-    return (
-        client.find_registrars(at)
-        .and_then(lambda addresses: client.call(addresses, method, path, body, headers))
-        .and_then(lambda outcome: client.read_json(outcome, kind))
-    )
+    addresses = client.find_controllers(at)
+    return client.call(addresses, method, path, body, headers).parse(kind)
 
 
-def look(at: str, path: str, kind: type, show, change=Ok) -> int:
-    """Shows what a registrar tells; says so, by a line and the exit code, where that is its own view only.
+def show(at: str, path: str, kind: type[Json], print_result: Callable[[Any], Any]) -> None:
+    """Prints what a controller replies.
 
-    >>> look("nowhere", "/", dict, print)
-    2
+    Raises:
+        LocalViewError: it was printed, but is that controller's own view only.
+        SumacloomError: the call failed.
     """
-    answered = client.find_registrars(at).and_then(
-        lambda addresses: client.call(addresses, "GET", path)
-    )
-    code = finish(
-        answered.and_then(lambda outcome: client.read_json(outcome, kind)).and_then(change), show
-    )
-    if code or not answered.ok().view:
-        return code
-    return finish(Err(own_view(answered.ok())))
+    reply = client.call(client.find_controllers(at), "GET", path)
+    print_result(reply.parse(kind))
+    if reply.view:
+        raise own_view_error(reply)
 
 
-def own_view(outcome: client.Outcome):
-    """The mishap that a table is one registrar's own view.
+def own_view_error(reply: client.ClearReply) -> LocalViewError:
+    """The error that a table is one controller's own view.
 
-    >>> own_view(client.Outcome(200, b"[]", "10.0.0.1:80", "own 12300")).sentence
-    "this is 10.0.0.1:80's own view: for 12.3 s it has heard no majority, or lacked something decided"
+    >>> own_view_error(client.ClearReply(200, b"[]", "10.0.0.1:80", "own 12300")).message[:48]
+    "this is 10.0.0.1:80's own view: for 12.3 s it ha"
     """
-    alone = outcome.view.split(" ")[-1]
-    seconds = f"for {int(alone) / 1000:.1f} s" if alone.isdigit() else "for some time"
-    return mishap(
-        "own_view",
-        f"this is {outcome.address}'s own view: {seconds} it has heard no majority, or lacked something decided",
+    alone_ms = reply.view.split(" ")[-1]
+    duration = f"for {int(alone_ms) / 1000:.1f} s" if alone_ms.isdigit() else "for some time"
+    return LocalViewError(
+        f"this is {reply.address}'s own view: {duration} it has heard no majority, "
+        "or lacked something decided"
     )
 
 
-def print_rows(as_json: bool):
-    """How rows are shown.
+def rows_printer(as_json: bool) -> Callable[[Rows], None]:
+    """Prints rows for people, or as JSON.
 
-    >>> print_rows(True)([{"a": 1}])
+    >>> rows_printer(True)([{"a": 1}])
     [{"a": 1}]
     """
-    return lambda rows: print(json.dumps(rows) if as_json else as_text(rows))
+    return lambda rows: print(json.dumps(rows) if as_json else format_rows(rows))
 
 
-def table(name: str, at: str, as_json: bool) -> int:
-    """Prints one table of the admin API.
+def show_table(name: str, at: str, as_json: bool) -> None:
+    """Prints one table of the admin API."""
+    show(at, f"/api/admin/{name}", list, rows_printer(as_json))
 
-    >>> table("members", "nowhere", False)
-    2
-    """
-    return look(at, f"/api/admin/{name}", list, print_rows(as_json))
+
+class Deadline:
+    """Polls until something is so, for a number of seconds at most."""
+
+    def __init__(self, wait_s: float):
+        self._ends_at = time.monotonic() + wait_s
+
+    def wait_or_raise(self, error: SumacloomError) -> None:
+        """Sleeps until the next poll.
+
+        Raises:
+            SumacloomError: the given one, once the time is over.
+        """
+        if time.monotonic() >= self._ends_at:
+            self._expire(error)
+        time.sleep(POLL_S)
+
+    @staticmethod
+    def _expire(error: SumacloomError) -> NoReturn:
+        raise error
--- a/sumacloom/cli/client.py
+++ b/sumacloom/cli/client.py
@@ -1,91 +1,141 @@
-"""Calls to the registrars: any of them will do; what one can't do another may."""
+"""Calls to the controllers: any of them will do, and what one can't do another may."""
 
 import http.client
 import json
 import os
 import time
-from typing import NamedTuple
-
-from sumacloom.errors import TABLE, Err, Ok, Result, mishap
-from sumacloom.settings import VARIABLE, parse_settings, split_address
-
-REGISTRARS = "SUMACLOOM_REGISTRARS"
-CALL_S = 2.0
+from collections.abc import Callable
+from typing import Any, NamedTuple, TypeVar
+
+from sumacloom.errors import (
+    ERRORS_BY_NAME,
+    ControllersUnreachableError,
+    GarbledReplyError,
+    SettingsMissingError,
+    SumacloomError,
+    UsageError,
+)
+from sumacloom.settings import POOLER, SETTINGS_VARIABLE, is_address, parse_settings, split_address
+
+Json = TypeVar("Json", dict, list)
+
+CONTROLLERS_VARIABLE = "SUMACLOOM_CONTROLLERS"
+FIRST_RELEASE_VARIABLE = "SUMACLOOM_REGISTRARS"  # read as well, so that scripts go on working
+VIEW_HEADER = "Sumacloom-View"
+CALL_TIMEOUT_S = 2.0
 PATIENCE_S = 10.0
-MOST_HOPS = 2
-AGAIN = (408, 429)
-MOST_REPLY = 16 << 20
+FIRST_DELAY_S, MAX_DELAY_S = 0.1, 2.0
+MAX_REDIRECTS = 2
+TEMPORARY_REDIRECT = 307
+RETRYABLE_STATUSES = (408, 429)
+MAX_REPLY_BYTES = 16 << 20
 
 
-class Outcome(NamedTuple):
-    """A clear reply.
+class ClearReply(NamedTuple):
+    """A reply that settles a call.
 
-    >>> Outcome(200, b"{}", "10.0.0.1:80").status
-    200
+    Attributes:
+        view: "own 12000" where it is one controller's view, and for how many ms it has had no quorum.
     """
 
     status: int
     body: bytes
     address: str
-    view: str = ""  # "own 12000": one registrar's, and for how many ms it has been alone
+    view: str = ""
+
+    @property
+    def succeeded(self) -> bool:
+        """Whether the call was carried out."""
+        return self.status < 300
 
+    def parse(self, kind: type[Json]) -> Json:
+        """The JSON of the body.
 
-def find_registrars(at: str) -> Result:
+        Raises:
+            GarbledReplyError: it is not JSON, or of another kind.
+        """
+        try:
+            data = json.loads(self.body)
+        except ValueError:
+            data = None
+        if not isinstance(data, kind):
+            raise GarbledReplyError(f"{self.address} answered with something that is not ours")
+        return data
+
+    def error(self) -> SumacloomError:
+        """The error that the body names; a GarbledReplyError if it names none."""
+        try:
+            data = json.loads(self.body)
+            kind = ERRORS_BY_NAME.get(data["error"], GarbledReplyError)
+            return kind(str(data["sentence"]))
+        except (ValueError, KeyError, TypeError):
+            return GarbledReplyError(
+                f"{self.address} answered {self.status} with something that is not ours"
+            )
+
+
+def find_controllers(at: str) -> list[str]:
     """The addresses to try: those named, else the variable's, else the settings file's seeds.
 
-    >>> find_registrars("10.0.0.1:80,10.0.0.2:80").ok()
+    >>> find_controllers("10.0.0.1:80,10.0.0.2:80")
     ['10.0.0.1:80', '10.0.0.2:80']
-    >>> find_registrars("nonsense").err().name
-    'usage'
+
+    Raises:
+        UsageError: none is named, or one is not IP:PORT.
+        SettingsMissingError: the settings file can't be read.
     """
-    text = at or os.environ.get(REGISTRARS, "")
-    if not text and os.environ.get(VARIABLE):
-        try:
-            with open(os.environ[VARIABLE], encoding="utf-8") as file:
-                settings = parse_settings(file.read(), "counter")
-        except OSError as error:
-            return Err(mishap("settings_missing", f"the settings file can't be read: {error}"))
-        if settings.is_ok():
-            text = ",".join(settings.ok().seeds)
+    variables = (CONTROLLERS_VARIABLE, FIRST_RELEASE_VARIABLE)
+    named = [at, *(os.environ.get(variable, "") for variable in variables)]
+    text = next(filter(None, named), "") or ",".join(_seeds_of_settings())
     addresses = [part.strip() for part in text.split(",") if part.strip()]
-    wrong = [address for address in addresses if split_address(address) is None]
-    if wrong or not addresses:
-        return Err(
-            mishap(
-                "usage",
-                f"'{wrong[0]}' is not IP:PORT"
-                if wrong
-                else f"name a registrar with --at IP:PORT, or in {REGISTRARS}",
-            )
-        )
-    return Ok(addresses)
+    for address in addresses:
+        if not is_address(address):
+            raise UsageError(f"'{address}' is not IP:PORT")
+    if not addresses:
+        raise UsageError(f"name a controller with --at IP:PORT, or in {CONTROLLERS_VARIABLE}")
+    return addresses
+
+
+def _seeds_of_settings() -> list[str]:
+    path = os.environ.get(SETTINGS_VARIABLE, "")
+    if not path:
+        return []
+    try:
+        with open(path, encoding="utf-8") as file:
+            text = file.read()
+    except OSError as error:
+        raise SettingsMissingError(f"the settings file can't be read: {error}") from error
+    try:
+        return parse_settings(text, POOLER).seeds
+    except SumacloomError:
+        return []  # the variable of another program: --at is asked for
 
 
 def call_one(
-    address: str, method: str, path: str, body: bytes, headers: dict, hops: int = 0
-) -> Outcome | None:
-    """One call, following 307 twice at most; None if there is no clear reply.
+    address: str, method: str, path: str, body: bytes, headers: dict[str, str], redirects: int = 0
+) -> ClearReply | None:
+    """One call, following a few redirects; None if there is no reply.
 
     >>> call_one("127.0.0.1:1", "GET", "/", b"", {}) is None
     True
     """
     host, port = split_address(address)
-    wire = http.client.HTTPConnection(host, port, timeout=CALL_S)
+    connection = http.client.HTTPConnection(host, port, timeout=CALL_TIMEOUT_S)
     try:
-        wire.request(method, path, body or None, headers)
-        reply = wire.getresponse()
-        data = reply.read(MOST_REPLY)
-        if reply.status == 307 and hops < MOST_HOPS:
-            target = reply.headers.get("Location", "")
-            place, _slash, rest = target.removeprefix("http://").partition("/")
-            if split_address(place) is None:
-                return None
-            return call_one(place, method, "/" + rest, body, headers, hops + 1)
-        return Outcome(reply.status, data, address, reply.headers.get("Sumacloom-View", ""))
+        connection.request(method, path, body or None, headers)
+        reply = connection.getresponse()
+        data = reply.read(MAX_REPLY_BYTES)
     except (OSError, http.client.HTTPException):
         return None
     finally:
-        wire.close()
+        connection.close()
+    if reply.status != TEMPORARY_REDIRECT or redirects >= MAX_REDIRECTS:
+        return ClearReply(reply.status, data, address, reply.headers.get(VIEW_HEADER, ""))
+    location = reply.headers.get("Location", "").removeprefix("http://")
+    target, _slash, rest = location.partition("/")
+    if not is_address(target):
+        return None
+    return call_one(target, method, "/" + rest, body, headers, redirects + 1)
 
 
 def call(
@@ -93,70 +143,41 @@
     method: str,
     path: str,
     body: bytes = b"",
-    headers: dict | None = None,
+    headers: dict[str, str] | None = None,
     patience_s: float = PATIENCE_S,
-    clock=time.monotonic,
-    rest=time.sleep,
-) -> Result:
-    """Calls one registrar after the other until one answers clearly, in bounded time.
+    clock: Callable[[], float] = time.monotonic,
+    sleep: Callable[[float], Any] = time.sleep,
+) -> ClearReply:
+    """Calls one controller after the other until one replies clearly, in bounded time.
 
-    An unclear end (silence, a 5xx, 408, 429) is sent again unchanged, to the next one, with growing
-    pauses; the registers make that safe. Gives Ok(Outcome), or Err with the registrar's own sentence.
+    An unclear end (silence, a 5xx, 408, 429) is sent again unchanged, to the next one, with growing delays;
+    the registers make that safe. A controller's own view counts only if no other knows better.
 
-    >>> call(["127.0.0.1:1"], "GET", "/", patience_s=0.0).err().name
-    'unreachable'
+    Raises:
+        SumacloomError: a controller's own error, or the last unclear one.
     """
-    started, pause, number = clock(), 0.1, 0
-    alone, last = (
-        None,
-        mishap("unreachable", f"no registrar could be reached at {', '.join(addresses)}"),
+    started_at, delay, attempts = clock(), FIRST_DELAY_S, 0
+    own_view: ClearReply | None = None
+    last_error: SumacloomError = ControllersUnreachableError(
+        f"no controller could be reached at {', '.join(addresses)}"
     )
     while True:
-        outcome = call_one(addresses[number % len(addresses)], method, path, body, headers or {})
-        number += 1
-        if outcome and outcome.view and outcome.status < 300 and number < len(addresses):
-            alone = outcome  # another may know better
+        reply = call_one(addresses[attempts % len(addresses)], method, path, body, headers or {})
+        attempts += 1
+        all_tried = attempts >= len(addresses)
+        if reply and reply.view and reply.succeeded and not all_tried:
+            own_view = reply
             continue
-        if outcome and outcome.status < 500 and outcome.status not in AGAIN:
-            return Ok(outcome) if outcome.status < 300 else Err(read_mishap(outcome))
-        if alone and number >= len(addresses):
-            return Ok(alone)
-        if outcome:
-            last = read_mishap(outcome)
-        if number >= len(addresses) and clock() - started >= patience_s:
-            return Err(last)
-        if number % len(addresses) == 0:
-            rest(pause)
-            pause = min(2.0, pause * 2)
-
-
-def read_mishap(outcome: Outcome):
-    """The numbered mishap in a reply; `garbled` if there is none.
-
-    >>> read_mishap(Outcome(404, b"<html>", "10.0.0.1:80")).name
-    'garbled'
-    """
-    try:
-        data = json.loads(outcome.body)
-        name = data["error"]
-        return mishap(name if name in TABLE else "garbled", str(data["sentence"]))
-    except (ValueError, KeyError, TypeError):
-        return mishap(
-            "garbled",
-            f"{outcome.address} answered {outcome.status} with something that is not ours",
-        )
-
-
-def read_json(outcome: Outcome, kind: type) -> Result:
-    """The JSON of a reply, of the kind expected.
-
-    >>> read_json(Outcome(200, b"[]", "10.0.0.1:80"), list).ok()
-    []
-    """
-    try:
-        data = json.loads(outcome.body)
-    except ValueError:
-        data = None
-    if not isinstance(data, kind):
-        return Err(mishap("garbled", f"{outcome.address} answered with something that is not ours"))
-    return Ok(data)
+        if reply and reply.status < 500 and reply.status not in RETRYABLE_STATUSES:
+            if reply.succeeded:
+                return reply
+            raise reply.error()
+        if own_view and all_tried:
+            return own_view
+        if reply:
+            last_error = reply.error()
+        if all_tried and clock() - started_at >= patience_s:
+            raise last_error
+        if attempts % len(addresses) == 0:
+            sleep(delay)
+            delay = min(MAX_DELAY_S, delay * 2)
--- a/sumacloom/cli/feed_reader.py
+++ b/sumacloom/cli/feed_reader.py
@@ -1,105 +1,127 @@
-"""The operator's and subscribers' commands for listeners.
+"""Takes items of a feed into a file.
 
-The file that `listen` writes is its cursor too: an item and the proof that it was taken are one line, synced
-before the next taking acknowledges it. So an item is in the file once, whatever dies in between.
+The file is the offset too: an item and the proof that it was taken are one line, synced before the next
+call acknowledges it. So an item is in the file once, whatever dies in between.
 """
 
+import contextlib
 import json
 import os
 import time
 import urllib.parse
+from collections.abc import Callable
+from typing import Any
 
 from sumacloom.cli import client
-from sumacloom.errors import Err, Ok, Result, mishap
+from sumacloom.errors import OutputUnwritableError, SumacloomError
 
+MAX_ITEMS = 200
 
-def last_number(path: str) -> Result:
-    """The number of the last whole line of the file, 0 if there is none; a torn last line is cut off.
+Item = dict[str, Any]
 
-    >>> last_number("/nowhere/at/all").ok()
+
+def last_number(path: str) -> int:
+    """The number of the file's last complete line, 0 if there is none; a torn last line is cut off.
+
+    >>> last_number("/nowhere/at/all")
     0
+
+    Raises:
+        OutputUnwritableError: the file can't be used, or holds something else.
     """
     try:
-        with open(path, "rb+") as file:
-            data = file.read()
-            whole = data[: data.rfind(b"\n") + 1]
-            if len(whole) < len(data):
-                file.truncate(len(whole))
-                os.fsync(file.fileno())
+        complete = _cut_torn_line(path)
     except FileNotFoundError:
-        return Ok(0)
+        return 0
     except OSError as error:
-        return Err(mishap("effect_unwritable", f"the file can't be used: {error}"))
+        raise OutputUnwritableError(f"the file can't be used: {error}") from error
+    if not complete:
+        return 0
     try:
-        return Ok(int(json.loads(whole.splitlines()[-1])["number"]) if whole else 0)
-    except (ValueError, KeyError, TypeError):
-        return Err(mishap("effect_unwritable", f"the last line of {path} is not an item"))
+        return int(json.loads(complete.splitlines()[-1])["number"])
+    except (ValueError, KeyError, TypeError) as error:
+        raise OutputUnwritableError(f"the last line of {path} is not an item") from error
+
+
+def _cut_torn_line(path: str) -> bytes:
+    """The file's complete lines."""
+    with open(path, "rb+") as file:
+        data = file.read()
+        complete = data[: data.rfind(b"\n") + 1]
+        if len(complete) < len(data):
+            file.truncate(len(complete))
+            os.fsync(file.fileno())
+    return complete
 
 
-def keep(path: str, items: list[dict]) -> Result:
+def append_items(path: str, items: list[Item]) -> None:
     """Appends items to the file, synced.
 
-    >>> keep("/nowhere/at/all", [{"number": 1}]).err().name
-    'effect_unwritable'
+    Raises:
+        OutputUnwritableError: the disk refuses.
     """
-    fresh = not os.path.exists(path)
+    is_new = not os.path.exists(path)
     try:
         with open(path, "ab") as file:
             file.write(b"".join(json.dumps(item).encode() + b"\n" for item in items))
             file.flush()
             os.fsync(file.fileno())
-        if fresh:
-            folder = os.open(os.path.dirname(os.path.abspath(path)), os.O_RDONLY)
-            try:
-                os.fsync(folder)
-            finally:
-                os.close(folder)
+        if is_new:
+            _sync_folder(os.path.dirname(os.path.abspath(path)))
     except OSError as error:
-        return Err(mishap("effect_unwritable", f"the items can't be written: {error}"))
-    return Ok(None)
+        raise OutputUnwritableError(f"the items can't be written: {error}") from error
+
 
+def _sync_folder(path: str) -> None:
+    folder = os.open(path, os.O_RDONLY)
+    try:
+        os.fsync(folder)
+    finally:
+        os.close(folder)
 
-def take_all(
+
+def take_items(
     addresses: list[str],
     name: str,
     database: str,
     path: str,
     count: int,
     seconds: float,
-    clock=time.monotonic,
-) -> Result:
+    clock: Callable[[], float] = time.monotonic,
+) -> int:
     """Takes items into the file until the count or the time is reached; 0 of either means without end.
 
-    >>> take_all([], "desk", "books", "/nowhere/at/all", 1, -1.0)
-    Ok(0)
+    Returns:
+        How many items were taken.
+
+    Raises:
+        SumacloomError: a call failed, or the file can't be written.
     """
-    number = last_number(path)
-    if number.is_err():
-        return number
-    taken, last, cutoff = 0, number.ok(), clock() + seconds
-    place = f"/api/admin/items/{urllib.parse.quote(database, safe='')}/{urllib.parse.quote(name, safe='')}"
-    while (not count or taken < count) and (not seconds or clock() < cutoff):
-        cursor = last + 1 if last else 0
-        most = min(200, count - taken) if count else 200
-        taking = client.call(addresses, "GET", f"{place}?cursor={cursor}&wait=1&most={most}")
-        read = taking.and_then(lambda outcome: client.read_json(outcome, dict))
-        if read.is_err():
-            return read
-        items = [item for item in read.ok().get("items", []) if item["number"] > last]
+    last, taken, deadline = last_number(path), 0, clock() + seconds
+    names = [urllib.parse.quote(part, safe="") for part in (database, name)]
+    feed_path = f"/api/admin/items/{'/'.join(names)}"
+    while (not count or taken < count) and (not seconds or clock() < deadline):
+        offset = last + 1 if last else 0
+        limit = min(MAX_ITEMS, count - taken) if count else MAX_ITEMS
+        query = f"cursor={offset}&wait=1&most={limit}"
+        reply = client.call(addresses, "GET", f"{feed_path}?{query}").parse(dict)
+        items = [item for item in reply.get("items", []) if item["number"] > last]
         if items:
-            kept = keep(path, items)
-            if kept.is_err():
-                return kept
-            taken, last = taken + len(items), items[-1]["number"]
+            append_items(path, items)
+            taken += len(items)
+            last = items[-1]["number"]
     if taken:  # what is safe in the file need not be kept for us any more
-        client.call(addresses, "GET", f"{place}?cursor={last + 1}&wait=0", patience_s=0.0)
-    return Ok(taken)
+        with contextlib.suppress(SumacloomError):
+            query = f"cursor={last + 1}&wait=0"
+            client.call(addresses, "GET", f"{feed_path}?{query}", patience_s=0.0)
+    return taken
 
 
-def agreement(rows: list[dict]) -> tuple[list[str], set]:
+def find_disagreement(rows: list[dict[str, Any]]) -> tuple[list[str], set[str | None]]:
     """The nodes that don't hold the newest list, and the digests of those that do.
 
-    >>> agreement([{"node": "a", "generation": 2, "digest": "x"}, {"node": "b", "generation": 1, "digest": "y"}])
+    >>> find_disagreement([
+    ...     {"node": "a", "generation": 2, "digest": "x"}, {"node": "b", "generation": 1, "digest": "y"}])
     (['b (1)'], {'x'})
     """
     newest = max((row.get("generation", 0) for row in rows), default=0)
--- a/sumacloom/cli/programs.py
+++ b/sumacloom/cli/programs.py
@@ -1,37 +1,34 @@
-"""The command line, read by defopt."""
+"""The command line, parsed by defopt: the two daemons, and the commands over the fleet."""
 
 import defopt
 
 from sumacloom.cli.commands import COMMANDS
 from sumacloom.daemon import run_daemon
+from sumacloom.settings import CONTROLLER, POOLER
 
+USAGE_EXIT_CODE = 2
 
-def counter(*, settings: str = "") -> int:
+
+def pooler(*, settings: str = "") -> int:
     """Carries the clients' statements to the backends.
 
     :param settings: path of the settings file; else the variable SUMACLOOM_NODE_FILE names it
     """
-    return run_daemon("counter", settings)
+    return run_daemon(POOLER, settings)
 
 
-def registrar(*, settings: str = "") -> int:
-    """Keeps blueprint, evacuations, members and backends, and does the failover duty.
+def controller(*, settings: str = "") -> int:
+    """Keeps configuration, zone drains, members and backends, and replaces primaries.
 
     :param settings: path of the settings file; else the variable SUMACLOOM_NODE_FILE names it
     """
-    return run_daemon("registrar", settings)
+    return run_daemon(CONTROLLER, settings)
 
 
 def run(arguments: list[str]) -> int:
-    """Runs the program that the arguments name."""
+    """Runs the program that the arguments name; returns its exit code."""
+    programs = {"pooler": pooler, "controller": controller, "fleet": COMMANDS}
     try:
-        return (
-            defopt.run(
-                {"counter": counter, "registrar": registrar, "fleet": COMMANDS},
-                argv=arguments,
-                no_negated_flags=True,
-            )
-            or 0
-        )
+        return defopt.run(programs, argv=arguments, no_negated_flags=True) or 0
     except SystemExit as end:
-        return end.code if isinstance(end.code, int) else 2
+        return end.code if isinstance(end.code, int) else USAGE_EXIT_CODE
--- a/sumacloom/cli/tables.py
+++ b/sumacloom/cli/tables.py
@@ -1,33 +1,45 @@
 """Rows for people, and SQL over them through sqlite in memory."""
 
 import sqlite3
+from typing import Any
 
-from sumacloom.errors import Err, Ok, Result, mishap
+from sumacloom.errors import InvalidQueryError
 
-MOST_STEPS = 2_000_000
+MAX_STEPS = 2_000_000  # of sqlite's virtual machine
+STEPS_PER_CHECK = 1000
+ONLY_SELECT = "only SELECT is answered here"
+ALLOWED_ACTIONS = (
+    sqlite3.SQLITE_SELECT,
+    sqlite3.SQLITE_READ,
+    sqlite3.SQLITE_FUNCTION,
+    sqlite3.SQLITE_RECURSIVE,
+)
 
+Rows = list[dict[str, Any]]
 
-def as_text(rows: list[dict]) -> str:
+
+def format_rows(rows: Rows) -> str:
     """Rows as aligned columns.
 
-    >>> print(as_text([{"node": "a", "votes": True}]))
+    >>> print(format_rows([{"node": "a", "votes": True}]))
     node  votes
     a     yes
     """
     if not rows:
         return "(none)"
     names = list(dict.fromkeys(name for row in rows for name in row))
-    lines = [names] + [[show(row.get(name)) for name in names] for row in rows]
-    widths = [max(len(line[place]) for line in lines) for place in range(len(names))]
+    lines = [names] + [[format_cell(row.get(name)) for name in names] for row in rows]
+    widths = [max(len(line[column]) for line in lines) for column in range(len(names))]
     return "\n".join(
-        "  ".join(cell.ljust(width) for cell, width in zip(line, widths)).rstrip() for line in lines
+        "  ".join(cell.ljust(width) for cell, width in zip(line, widths, strict=True)).rstrip()
+        for line in lines
     )
 
 
-def show(value) -> str:
+def format_cell(value: Any) -> str:
     """One cell.
 
-    >>> show(True), show(None), show(3)
+    >>> format_cell(True), format_cell(None), format_cell(3)
     ('yes', '-', '3')
     """
     if isinstance(value, bool):
@@ -35,59 +47,53 @@
     return "-" if value is None or value == "" else str(value)
 
 
-def clean(value):
-    """A cell as sqlite takes it.
-
-    >>> clean(True), clean({"a": 1})
-    (1, "{'a': 1}")
-    """
+def _sql_value(value: Any) -> Any:
+    """A cell as sqlite takes it."""
     if isinstance(value, bool):
         return int(value)
-    return value if value is None or isinstance(value, (int, float, str)) else str(value)
+    return value if value is None or isinstance(value, int | float | str) else str(value)
 
 
-def query(tables: dict[str, list[dict]], text: str) -> Result:
+def query(tables: dict[str, Rows], text: str) -> Rows:
     """Runs one SELECT over the tables, read only and in bounded work.
 
-    >>> query({"members": [{"node": "a"}, {"node": "b"}]}, "SELECT count(*) AS n FROM members").ok()
+    >>> query({"members": [{"node": "a"}, {"node": "b"}]}, "SELECT count(*) AS n FROM members")
     [{'n': 2}]
-    >>> query({}, "DROP TABLE x").err().name
-    'bad_query'
+
+    Raises:
+        InvalidQueryError: it is no SELECT, wrong, or takes too long.
     """
-    wire = sqlite3.connect(":memory:")
+    connection = sqlite3.connect(":memory:")
     try:
         for name, rows in tables.items():
-            columns = list(dict.fromkeys(column for row in rows for column in row)) or ["empty"]
-            quoted = ", ".join('"{}"'.format(column.replace('"', '""')) for column in columns)
-            wire.execute(f'CREATE TABLE "{name}" ({quoted})')
-            marks = ", ".join("?" * len(columns))
-            wire.executemany(
-                f'INSERT INTO "{name}" VALUES ({marks})',
-                [[clean(row.get(column)) for column in columns] for row in rows],
-            )
-        wire.commit()
-        allowed = (
-            sqlite3.SQLITE_SELECT,
-            sqlite3.SQLITE_READ,
-            sqlite3.SQLITE_FUNCTION,
-            sqlite3.SQLITE_RECURSIVE,
-        )
-        wire.set_authorizer(
-            lambda action, *_rest: sqlite3.SQLITE_OK if action in allowed else sqlite3.SQLITE_DENY
-        )
-        steps = iter(range(MOST_STEPS // 1000))
-        wire.set_progress_handler(lambda: next(steps, None) is None, 1000)
-        cursor = wire.execute(text)
+            _create_table(connection, name, rows)
+        connection.commit()
+        connection.set_authorizer(_authorize)
+        budget = iter(range(MAX_STEPS // STEPS_PER_CHECK))
+        connection.set_progress_handler(lambda: next(budget, None) is None, STEPS_PER_CHECK)
+        cursor = connection.execute(text)
         if cursor.description is None:
-            return Err(mishap("bad_query", "only SELECT is answered here"))
+            raise InvalidQueryError(ONLY_SELECT)
         names = [column[0] for column in cursor.description]
-        return Ok([dict(zip(names, row)) for row in cursor])
+        return [dict(zip(names, row, strict=True)) for row in cursor]
     except (sqlite3.Error, sqlite3.Warning) as error:
-        reason = (
-            "only SELECT is answered here"
-            if "authorized" in str(error) or "prohibited" in str(error)
-            else error
-        )
-        return Err(mishap("bad_query", f"the query can't be run: {reason}"))
+        refused = "authorized" in str(error) or "prohibited" in str(error)
+        reason = ONLY_SELECT if refused else error
+        raise InvalidQueryError(f"the query can't be run: {reason}") from error
     finally:
-        wire.close()
+        connection.close()
+
+
+def _create_table(connection: sqlite3.Connection, name: str, rows: Rows) -> None:
+    columns = list(dict.fromkeys(column for row in rows for column in row)) or ["empty"]
+    quoted = ", ".join('"' + column.replace('"', '""') + '"' for column in columns)
+    connection.execute(f'CREATE TABLE "{name}" ({quoted})')
+    placeholders = ", ".join("?" * len(columns))
+    connection.executemany(
+        f'INSERT INTO "{name}" VALUES ({placeholders})',
+        [[_sql_value(row.get(column)) for column in columns] for row in rows],
+    )
+
+
+def _authorize(action: int, *_details: Any) -> int:
+    return sqlite3.SQLITE_OK if action in ALLOWED_ACTIONS else sqlite3.SQLITE_DENY
--- a/sumacloom/configuration/__init__.py
+++ b/sumacloom/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""What both programs share: settings, value types, results, logs, lines, HTTP."""
+"""The operator's configuration: its model, its checks, and how it travels; access lists likewise."""
--- a/sumacloom/configuration/access_checks.py
+++ b/sumacloom/configuration/access_checks.py
@@ -1,83 +1,86 @@
-"""The operator's access lists, read and checked with pydantic."""
+"""The operator's access lists, read strictly with pydantic."""
 
-from ipaddress import ip_network
+from ipaddress import IPv4Network, IPv6Network, ip_network
 from typing import Literal
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from sumacloom.configuration.access_list import ANY, DEFAULT, UNKNOWN
-from sumacloom.errors import Err, Ok, Result, mishap
+from sumacloom.configuration.access_list import ANY, DEFAULT_RULE, UNKNOWN_REGION
+from sumacloom.errors import BodyTooLargeError, InvalidAccessListError, UnknownRegionError
 
-MOST_BODY = 64 << 10
-MOST_RULES, MOST_NETWORKS = 512, 2048
-Name = Field(min_length=1, max_length=64, pattern=r"^\S+$")
+MAX_BODY_BYTES = 64 << 10
+MAX_RULES, MAX_NETWORKS = 512, 2048
 
 
 class RuleModel(BaseModel):
+    """One rule."""
+
     model_config = ConfigDict(extra="forbid", strict=True)
-    name: str = Name
+    name: str = Field(min_length=1, max_length=64, pattern=r"^\S+$")
     action: Literal["allow", "deny"]
     databases: list[str] = Field(min_length=1)
     regions: list[str] = Field(min_length=1)
 
 
-class AccessModel(BaseModel):
+class AccessListModel(BaseModel):
+    """A whole list."""
+
     model_config = ConfigDict(extra="forbid", strict=True)
     default: Literal["allow", "deny"]
-    networks: dict[str, str] = Field(default={}, max_length=MOST_NETWORKS)
-    rules: list[RuleModel] = Field(default=[], max_length=MOST_RULES)
+    networks: dict[str, str] = Field(default={}, max_length=MAX_NETWORKS)
+    rules: list[RuleModel] = Field(default=[], max_length=MAX_RULES)
 
 
-def check_access(raw: bytes, regions: set[str]) -> Result:
-    """Reads an access list; Ok(model), or the first mishap found.
+def parse_access_list(body: bytes, regions: set[str]) -> AccessListModel:
+    """Reads an access list.
 
-    >>> check_access(b'{"default": "deny"}', set()).ok().default
+    >>> parse_access_list(b'{"default": "deny"}', set()).default
     'deny'
-    >>> check_access(b'{"default": "deny", "networks": {"10.0.0.1/8": "north"}}', {"north"}).err().name
-    'invalid_access'
-    >>> check_access(b'{"default": "deny", "networks": {"10.0.0.0/8": "mars"}}', {"north"}).err().name
-    'unknown_region'
+
+    Args:
+        body: JSON.
+        regions: the regions that settings name.
+
+    Raises:
+        SumacloomError: the first error found.
     """
-    if len(raw) > MOST_BODY:
-        return Err(mishap("too_large", f"an access list has {MOST_BODY >> 10} KiB at most"))
+    if len(body) > MAX_BODY_BYTES:
+        raise BodyTooLargeError(f"an access list has {MAX_BODY_BYTES >> 10} KiB at most")
     try:
-        model = AccessModel.model_validate_json(raw)
+        model = AccessListModel.model_validate_json(body)
     except ValidationError as error:
         item = error.errors(include_url=False, include_input=False)[0]
         place = ".".join(map(str, item["loc"]))
-        return Err(mishap("invalid_access", f"{place}: {item['msg']}" if place else item["msg"]))
-    return find_mishap(model, regions) or Ok(model)
-
+        raise InvalidAccessListError(f"{place}: {item['msg']}" if place else item["msg"]) from error
+    _check_rule_names(model)
+    _check_networks(model)
+    _check_regions(model, regions)
+    return model
 
-def find_mishap(model: AccessModel, regions: set[str]) -> Result | None:
-    """What a model's fields don't show: the first mishap, or nothing.
 
-    >>> find_mishap(AccessModel(default="deny"), set()) is None
-    True
-    """
+def _check_rule_names(model: AccessListModel) -> None:
     names = [rule.name for rule in model.rules]
-    doubled = next((name for name in names if names.count(name) > 1 or name == DEFAULT), None)
-    if doubled:
-        return Err(
-            mishap(
-                "invalid_access", f"two rules are named '{doubled}', or it is the default's name"
+    for name in names:
+        if names.count(name) > 1 or name == DEFAULT_RULE:
+            raise InvalidAccessListError(
+                f"two rules are named '{name}', or it is the default's name"
             )
-        )
-    seen = {}
+
+
+def _check_networks(model: AccessListModel) -> None:
+    seen: dict[IPv4Network | IPv6Network, str] = {}
     for text in model.networks:
         try:
             network = ip_network(text)
         except ValueError as error:
-            return Err(mishap("invalid_access", f"networks: {error}"))
+            raise InvalidAccessListError(f"networks: {error}") from error
         if network in seen:
-            return Err(
-                mishap("invalid_access", f"networks: '{text}' is the same as '{seen[network]}'")
-            )
+            raise InvalidAccessListError(f"networks: '{text}' is the same as '{seen[network]}'")
         seen[network] = text
-    named = {*model.networks.values()} | {
-        region for rule in model.rules for region in rule.regions
-    } - {ANY, UNKNOWN}
-    strange = sorted(named - regions)
-    if strange:
-        return Err(mishap("unknown_region", f"there is no region '{strange[0]}'"))
-    return None
+
+
+def _check_regions(model: AccessListModel, regions: set[str]) -> None:
+    named = {region for rule in model.rules for region in rule.regions} - {ANY, UNKNOWN_REGION}
+    unknown = sorted((named | {*model.networks.values()}) - regions)
+    if unknown:
+        raise UnknownRegionError(f"there is no region '{unknown[0]}'")
--- a/sumacloom/configuration/model.py
+++ b/sumacloom/configuration/model.py
@@ -1,14 +1,21 @@
-"""The blueprint as the data plane reads it; the registrar's own model checks it first."""
+"""The configuration as the data plane reads it; `checks` reads it more strictly first.
+
+Field names are those of the operators' pages, in Python's case.
+"""
 
 import zlib
 
 import msgspec
 
-PACK_FROM = 1024  # smaller bodies travel as they are
-MOST_UNPACKED = 8 << 20
+COMPRESS_FROM = 1024  # bytes; smaller bodies travel as they are
+MAX_BODY_BYTES = 8 << 20
+ZLIB_HEADER = b"\x78"  # no JSON object begins so
+ZLIB_LEVEL = 6
 
 
 class Route(msgspec.Struct, rename="camel"):
+    """A database and the service that it is served by; times in milliseconds."""
+
     name: str
     host: str
     svc: str
@@ -23,6 +30,8 @@
 
 
 class Service(msgspec.Struct, rename="camel"):
+    """A primary and its replicas."""
+
     name: str
     maxconn: int = 32
     cold_s: float = 0
@@ -30,50 +39,61 @@
     sync_acks: int = 0
 
 
-class BlueprintLimits(msgspec.Struct, rename="camel"):
+class ConfigurationLimits(msgspec.Struct, rename="camel"):
+    """Limits that hold for all databases; times in milliseconds."""
+
     tx_idle_ms: float = 3000
     idle_ms: float = 15000
-    guarded: bool = False  # ours: who hears no settled registrar takes no work
+    guarded: bool = False  # our own: a pooler that hears no controller in quorum takes no work
 
 
-class Blueprint(msgspec.Struct, rename="camel"):
+class Configuration(msgspec.Struct, rename="camel"):
+    """A whole configuration."""
+
     ver: int
     routes: list[Route] = []
     svcs: list[Service] = []
-    limits: BlueprintLimits = msgspec.field(default_factory=BlueprintLimits)
+    limits: ConfigurationLimits = msgspec.field(default_factory=ConfigurationLimits)
+
+    def databases(self) -> set[str]:
+        """The databases that have a route."""
+        return {route.host for route in self.routes}
 
 
-def pack_blueprint(raw: bytes) -> bytes:
-    """A blueprint as it is kept and passed on: many routes are packed, since links may be narrow.
+def compress(body: bytes) -> bytes:
+    """A body as it is kept and passed on: large ones are compressed, since links may be narrow.
 
-    >>> pack_blueprint(b'{"ver": 3}'), len(pack_blueprint(b'{"ver": 3}' + b" " * 9000)) < 100
+    >>> compress(b'{"ver": 3}'), len(compress(b'{"ver": 3}' + b" " * 9000)) < 100
     (b'{"ver": 3}', True)
     """
-    return raw if len(raw) < PACK_FROM else zlib.compress(raw, 6)
+    return body if len(body) < COMPRESS_FROM else zlib.compress(body, ZLIB_LEVEL)
 
 
-def unpack_blueprint(data: bytes) -> bytes:
-    """The operator's own bytes again; ValueError for what can't be unpacked in bounded space.
+def decompress(data: bytes) -> bytes:
+    """The operator's own bytes again.
 
-    >>> unpack_blueprint(pack_blueprint(b'{"ver": 3}' + b" " * 9000))[:10]
+    >>> decompress(compress(b'{"ver": 3}' + b" " * 9000))[:10]
     b'{"ver": 3}'
+
+    Raises:
+        ValueError: the data can't be decompressed in bounded space.
     """
-    if data[:1] != b"\x78":
+    if data[:1] != ZLIB_HEADER:
         return data
-    machine = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        raw = machine.decompress(data, MOST_UNPACKED)
+        body = decompressor.decompress(data, MAX_BODY_BYTES)
     except zlib.error as error:
-        raise ValueError(f"a blueprint can't be unpacked: {error}") from error
-    if not machine.eof:
-        raise ValueError("a blueprint is too large, or cut off")
-    return raw
+        raise ValueError(f"a configuration can't be decompressed: {error}") from error
+    if not decompressor.eof:
+        raise ValueError("a configuration is too large, or cut off")
+    return body
 
 
-def decode_blueprint(data: bytes) -> Blueprint:
-    """Reads a blueprint that a registrar has already checked, packed or not.
+def decode_configuration(data: bytes) -> Configuration:
+    """Reads a configuration that a controller has already checked, compressed or not.
 
-    >>> decode_blueprint(b'{"ver": 3}').ver
+    >>> decode_configuration(b'{"ver": 3}').ver
     3
     """
-    return msgspec.json.decode(unpack_blueprint(data), type=Blueprint)
+    return msgspec.json.decode(decompress(data), type=Configuration)
--- a/sumacloom/consensus/acceptor.py
+++ b/sumacloom/consensus/acceptor.py
@@ -1,161 +1,182 @@
-"""The acceptor: a voter's memory of every register.
+"""The acceptor: what one voter has promised and accepted, per register.
 
-No I/O: it returns its reply and the keys to write (synced BEFORE the reply leaves).
+No I/O: it returns its reply and the keys to write. The caller syncs these keys BEFORE it sends the
+reply; an acceptor that forgot a promise could let two values be committed.
 """
 
+from collections.abc import Mapping
 from typing import NamedTuple
 
 from sumacloom.consensus.messages import (
     Accept,
     Accepted,
-    Copy,
+    Message,
     Prepare,
     Promise,
-    Query,
-    Reconfigured,
-    Refused,
-    Told,
+    QuorumChanged,
+    ReadReply,
+    ReadRequest,
+    Rejected,
+    StateTransfer,
 )
-from sumacloom.consensus.quorum import Configuration
-from sumacloom.types import NO_BALLOT, Ballot
+from sumacloom.consensus.proposal_number import NO_PROPOSAL, ProposalNumber
+from sumacloom.consensus.quorum import QuorumConfiguration
 
 
-class Slot(NamedTuple):
-    """One key at one acceptor."""
+class RegisterState(NamedTuple):
+    """One register at one acceptor."""
 
-    promised: Ballot = NO_BALLOT
-    accepted: Ballot = NO_BALLOT
+    promised: ProposalNumber = NO_PROPOSAL
+    accepted: ProposalNumber = NO_PROPOSAL
     value: bytes | None = None
 
 
-class Acceptor:
-    """A voter's memory. `learned` is false while a lost disk is being made good; then it keeps silent.
+class AcceptorReply(NamedTuple):
+    """A reply, and the keys whose state must be synced before it leaves."""
 
-    >>> acceptor = Acceptor(Configuration(1, (), ("a",)), 1)
-    >>> reply, writes = acceptor.hear(Prepare("k", Ballot(1, "a", 0), NO_BALLOT))
-    >>> reply.accepted == NO_BALLOT, writes
-    (True, ['k'])
-    """
+    message: Message | None
+    dirty_keys: list[str]
 
-    def __init__(self, configuration: Configuration, incarnation: int, learned: bool = True):
-        self.configuration, self.incarnation, self.learned = configuration, incarnation, learned
-        self.slots: dict[str, Slot] = {}
-        self.floor = NO_BALLOT  # promised for every key, to one that had lost its memory
 
-    def slot(self, key: str) -> Slot:
-        """What is held of a key.
-
-        >>> Acceptor(Configuration(1, (), ("a",)), 1).slot("k") == Slot()
-        True
-        """
-        return self.slots.get(key) or Slot(promised=self.floor)
+class Acceptor:
+    """One voter's state.
 
-    def hear(self, message) -> tuple:
-        """The reply to a proposal's message, and the keys to write before it may leave.
+    Attributes:
+        recovered: False while the state of a lost disk is being restored; until then it does not vote.
+        incarnation: changes when state was lost; a promise of another incarnation binds nobody.
+        promised_floor: promised for every key, to a voter that had lost its state.
 
-        Who counts by other voters is told ours and gets no vote: it learns the newer, or tells us its own.
+    >>> acceptor = Acceptor(QuorumConfiguration(1, (), ("a",)), 1)
+    >>> reply, dirty = acceptor.receive(Prepare("k", ProposalNumber(1, "a", 0), NO_PROPOSAL))
+    >>> reply.accepted == NO_PROPOSAL, dirty
+    (True, ['k'])
+    """
 
-        >>> Acceptor(Configuration(1, (), ("a",)), 1, learned=False).hear(Query("k", NO_BALLOT, NO_BALLOT))
-        (None, [])
-        >>> Acceptor(Configuration(2, (), ("a",)), 1).hear(Query("k", NO_BALLOT, NO_BALLOT))[0].configuration.generation
-        2
-        """
-        if not self.learned:
-            return None, []
-        if message.configuration not in (self.configuration.mark, self.configuration.generation):
-            return Reconfigured(self.configuration), []
-        slot = self.slot(message.key)
-        if isinstance(message, Query):
-            value = None if message.known == slot.accepted else slot.value
-            return Copy(message.key, message.ballot, slot.accepted, value), []
-        if message.ballot < slot.promised or (
-            isinstance(message, Accept) and message.incarnation != self.incarnation
-        ):
-            return Refused(message.key, message.ballot, slot.promised), []
+    def __init__(self, quorum: QuorumConfiguration, incarnation: int, recovered: bool = True):
+        self.quorum = quorum
+        self.incarnation = incarnation
+        self.recovered = recovered
+        self.registers: dict[str, RegisterState] = {}
+        self.promised_floor = NO_PROPOSAL
+
+    def register_state(self, key: str) -> RegisterState:
+        """What this acceptor holds of a key."""
+        return self.registers.get(key) or RegisterState(promised=self.promised_floor)
+
+    def receive(self, message: Prepare | Accept | ReadRequest) -> AcceptorReply:
+        """Replies to a proposer. One that counts by another configuration gets ours instead of a vote."""
+        if not self.recovered:
+            return AcceptorReply(None, [])
+        if message.quorum not in (self.quorum.identity, self.quorum.version):
+            return AcceptorReply(QuorumChanged(self.quorum), [])
+        state = self.register_state(message.key)
+        if isinstance(message, ReadRequest):
+            return self._read(message, state)
+        stale = message.proposal_number < state.promised
+        if stale or (isinstance(message, Accept) and message.incarnation != self.incarnation):
+            rejected = Rejected(message.key, message.proposal_number, state.promised)
+            return AcceptorReply(rejected, [])
         if isinstance(message, Prepare):
-            if message.ballot == slot.promised:  # the same prepare again: the same promise
-                writes = []
-            else:
-                self.slots[message.key] = slot._replace(promised=message.ballot)
-                writes = [message.key]
-            value = None if message.known == slot.accepted else slot.value
-            return Promise(
-                message.key, message.ballot, slot.accepted, value, self.incarnation
-            ), writes
-        if slot.accepted == message.ballot:
-            return Accepted(message.key, message.ballot), []
-        self.slots[message.key] = Slot(message.ballot, message.ballot, message.value)
-        return Accepted(message.key, message.ballot), [message.key]
-
-    def mend(self, key: str, ballot: Ballot, value: bytes) -> list[str]:
-        """Takes a decided value into an old copy; gives the keys to write.
-
-        >>> Acceptor(Configuration(1, (), ("a",)), 1).mend("k", Ballot(1, "a", 0), b"v")
-        ['k']
-        """
-        slot = self.slot(key)
-        if not self.learned or ballot < slot.promised or ballot <= slot.accepted:
+            return self._promise(message, state)
+        return self._accept(message, state)
+
+    @staticmethod
+    def _read(message: ReadRequest, state: RegisterState) -> AcceptorReply:
+        value = None if message.known == state.accepted else state.value
+        reply = ReadReply(message.key, message.proposal_number, state.accepted, value)
+        return AcceptorReply(reply, [])
+
+    def _promise(self, message: Prepare, state: RegisterState) -> AcceptorReply:
+        dirty_keys = []
+        if message.proposal_number != state.promised:  # a repeated Prepare changes nothing
+            self.registers[message.key] = state._replace(promised=message.proposal_number)
+            dirty_keys = [message.key]
+        value = None if message.known == state.accepted else state.value
+        promise = Promise(
+            message.key, message.proposal_number, state.accepted, value, self.incarnation
+        )
+        return AcceptorReply(promise, dirty_keys)
+
+    def _accept(self, message: Accept, state: RegisterState) -> AcceptorReply:
+        accepted = Accepted(message.key, message.proposal_number)
+        if state.accepted == message.proposal_number:
+            return AcceptorReply(accepted, [])
+        number = message.proposal_number
+        self.registers[message.key] = RegisterState(number, number, message.value)
+        return AcceptorReply(accepted, [message.key])
+
+    def repair(self, key: str, proposal_number: ProposalNumber, value: bytes) -> list[str]:
+        """Takes a committed value in place of an older one; returns the keys to write."""
+        state = self.register_state(key)
+        outdated = proposal_number < state.promised or proposal_number <= state.accepted
+        if not self.recovered or outdated:
             return []
-        self.slots[key] = Slot(ballot, ballot, value)
+        self.registers[key] = RegisterState(proposal_number, proposal_number, value)
         return [key]
 
-    def raise_floor(self, barrier: Ballot) -> list[str]:
-        """Promises a ballot for every key; gives the keys to write.
+    def promise_at_least(self, barrier: ProposalNumber) -> list[str]:
+        """Promises a number for every key; returns the keys to write.
 
-        >>> acceptor = Acceptor(Configuration(1, (), ("a",)), 1); acceptor.raise_floor(Ballot(4, "b", 0)); acceptor.slot("k").promised.round
+        >>> acceptor = Acceptor(QuorumConfiguration(1, (), ("a",)), 1)
+        >>> acceptor.promise_at_least(ProposalNumber(4, "b", 0)); acceptor.register_state("k").promised.round
         []
         4
         """
-        if not self.learned or barrier <= self.floor:
+        if not self.recovered or barrier <= self.promised_floor:
             return []
-        self.floor = barrier
-        lower = [key for key, slot in self.slots.items() if slot.promised < barrier]
-        self.slots.update((key, self.slots[key]._replace(promised=barrier)) for key in lower)
+        self.promised_floor = barrier
+        lower = [key for key, state in self.registers.items() if state.promised < barrier]
+        for key in lower:
+            self.registers[key] = self.registers[key]._replace(promised=barrier)
         return lower
 
-    def tell(self) -> Told | None:
-        """Everything, for a voter that lost its memory; nothing while this one is learning itself.
-
-        >>> Acceptor(Configuration(1, (), ("a",)), 1).tell().slots
-        []
-        """
-        if not self.learned:
+    def export_state(self) -> StateTransfer | None:
+        """Everything, for a voter that lost its state; None while this one is recovering itself."""
+        if not self.recovered:
             return None
-        return Told(
-            self.configuration, [(key, *slot) for key, slot in self.slots.items()], self.floor
-        )
+        registers = [(key, *state) for key, state in self.registers.items()]
+        return StateTransfer(self.quorum, registers, self.promised_floor)
 
-    def learn(self, tales: dict[str, Told], barrier: Ballot = NO_BALLOT) -> list[str] | None:
-        """Adopts the highest value per key once enough others told; gives the keys to write.
+    def recover(
+        self, transfers: Mapping[str, StateTransfer], barrier: ProposalNumber = NO_PROPOSAL
+    ) -> list[str] | None:
+        """Restores the state from other voters once enough have sent theirs.
 
-        Enough are those that meet every majority of the newest voters told of. A tale counts only if its
-        teller refuses whatever is below our barrier and had promised nothing above it: else a vote that we
-        gave before our loss could still be counted together with one that the teller gives after its tale.
+        Enough are those that intersect every quorum of the newest configuration told of. A transfer
+        counts only if its sender rejects whatever is below our barrier and had promised nothing above
+        it: else a vote that we gave before our loss could be counted together with one that the sender
+        gives after its transfer.
 
-        >>> configuration = Configuration(1, (), ("a", "b", "c")); acceptor = Acceptor(configuration, 1, learned=False)
-        >>> acceptor.learn({"b": Told(configuration, [])}) is None, acceptor.learn({"b": Told(configuration, []), "c": Told(configuration, [])})
-        (True, [])
+        Args:
+            transfers: the newest transfer of each voter.
+            barrier: the number that these voters were asked to promise for every key.
+
+        Returns:
+            The keys to write, or None while this acceptor can't vote yet (or needn't recover).
         """
-        if self.learned or not tales:
+        if self.recovered or not transfers:
             return None
-        newest = max(
-            [self.configuration, *(told.configuration for told in tales.values())],
-            key=lambda configuration: configuration.generation,
-        )
-        sure = {
-            voter: told
-            for voter, told in tales.items()
-            if told.floor == barrier
-            and all(Ballot(*promised) == barrier for _key, promised, *_rest in told.slots)
+        known = [self.quorum, *(transfer.quorum for transfer in transfers.values())]
+        newest = max(known, key=lambda quorum: quorum.version)
+        usable = {
+            voter
+            for voter, transfer in transfers.items()
+            if transfer.promised_floor == barrier
+            and all(ProposalNumber(*row[1]) == barrier for row in transfer.registers)
         }
-        if not newest.meets_every_quorum(sure):
+        if not newest.intersects_every_quorum(usable):
             return None
-        self.configuration, self.floor = newest, barrier
-        for told in tales.values():
-            for key, _promised, accepted, value in told.slots:
-                slot = self.slot(key)
-                if Ballot(*accepted) > slot.accepted:
-                    slot = slot._replace(accepted=Ballot(*accepted), value=value)
-                self.slots[key] = slot._replace(promised=barrier)
-        self.learned = True
-        return list(self.slots)
+        self.quorum = newest
+        self.promised_floor = barrier
+        for transfer in transfers.values():
+            self._adopt(transfer, barrier)
+        self.recovered = True
+        return list(self.registers)
+
+    def _adopt(self, transfer: StateTransfer, barrier: ProposalNumber) -> None:
+        """Takes over what a transfer holds where it is newer."""
+        for key, _promised, accepted, value in transfer.registers:
+            state = self.register_state(key)
+            if ProposalNumber(*accepted) > state.accepted:
+                state = state._replace(accepted=ProposalNumber(*accepted), value=value)
+            self.registers[key] = state._replace(promised=barrier)
--- a/sumacloom/consensus/contact.py
+++ b/sumacloom/consensus/contact.py
@@ -1,79 +1,92 @@
-"""Who is in contact with us: dated by when we sent what a peer answers, never by when we read the answer.
+"""Contact with peers, dated by when we sent what a peer acknowledges, never by when we read it.
 
-After standing still, or over a link that holds letters back, old beats are read late. A beat says which of ours
-its sender had heard last, so that contact is as old as that beat of ours, however late the answer is read.
+After a stall of this process, or over a link that delays messages, old heartbeats are read late. A
+heartbeat names the newest of ours that its sender had received, so contact is as old as that heartbeat
+of ours, however late the acknowledgement is read.
 """
 
-from sumacloom.types import NO_BALLOT, Ballot
+from collections.abc import Mapping
+from typing import NamedTuple
 
-CONTACT_S = (
-    1.8  # two beats' intervals and the way there and back are 0.8 s or so; the rest is for delays
-)
-TOLD_S = 2.8  # what rarely changes is told once a second: contact, and that second
-LONG_AGO = -1e9
+from sumacloom.consensus.proposal_number import NO_PROPOSAL, ProposalNumber
 
+CONTACT_S = 1.8  # two heartbeat intervals and the round trip are some 0.8 s; the rest is for delays
+REPORTED_S = 2.8  # what rarely changes is reported once a second: contact, and that second
+NEVER = -1e9
 
-class Contact:
-    """The numbers of our beats, and how old each peer's contact with us is."""
+
+class ReportedNumbers(NamedTuple):
+    """The newest proposal number of each key at a peer, and when we sent what that report acknowledges."""
+
+    dated: float
+    numbers: Mapping[str, ProposalNumber]
+
+
+class PeerContact:
+    """Numbers our heartbeats, and knows how old each peer's contact with us is."""
 
     def __init__(self, number: int):
-        self.number = number  # of our newest beat; each life of a process begins elsewhere
-        self.sent: dict[int, float] = {}  # number: when we sent it
-        self.answered: dict[
+        self.number = (
+            number  # of our newest heartbeat; each incarnation of a process begins elsewhere
+        )
+        self.sent_at: dict[int, float] = {}
+        self.answered_at: dict[
             str, float
-        ] = {}  # peer: when we sent the newest beat that it has answered
-        self.told: dict[str, tuple] = {}  # peer: (dated likewise, {key: newest ballot it accepted})
+        ] = {}  # peer: when we sent the newest that it acknowledged
+        self.reported: dict[str, ReportedNumbers] = {}
 
     def send(self, now: float) -> None:
-        """Numbers the beat that is to be sent now.
+        """Numbers the heartbeat that is about to be sent.
 
-        >>> contact = Contact(7); contact.send(1.0); contact.sent
+        >>> contact = PeerContact(7); contact.send(1.0); contact.sent_at
         {8: 1.0}
         """
         self.number += 1
-        self.sent[self.number] = now
-        self.sent = {number: sent for number, sent in self.sent.items() if now - sent < TOLD_S}
+        self.sent_at[self.number] = now
+        recent = {number: at for number, at in self.sent_at.items() if now - at < REPORTED_S}
+        self.sent_at = recent
+
+    def _date_of(self, acknowledged: int | None) -> float:
+        return NEVER if acknowledged is None else self.sent_at.get(acknowledged, NEVER)
 
-    def hear(self, peer: str, echo: int | None) -> None:
-        """A peer's beat answers ours of this number; one that we don't know dates nothing.
+    def receive(self, peer: str, acknowledged: int | None) -> None:
+        """A peer acknowledges our heartbeat of that number; one that we don't know dates nothing.
 
-        >>> contact = Contact(7); contact.send(1.0); contact.hear("b", 8); contact.holds("b", 2.0), contact.holds("b", 9.0)
+        >>> contact = PeerContact(7); contact.send(1.0); contact.receive("b", 8)
+        >>> contact.holds("b", 2.0), contact.holds("b", 9.0)
         (True, False)
         """
-        self.answered[peer] = max(self.answered.get(peer, LONG_AGO), self.sent.get(echo, LONG_AGO))
+        known = self.answered_at.get(peer, NEVER)
+        self.answered_at[peer] = max(known, self._date_of(acknowledged))
 
-    def hear_ballots(self, peer: str, echo: int | None, ballots: dict[str, Ballot]) -> None:
-        """A peer tells the newest ballot of each key that it has accepted, or knows to be decided.
-
-        >>> contact = Contact(7); contact.hear_ballots("b", None, {}); contact.told
-        {'b': (-1000000000.0, {})}
-        """
-        self.told[peer] = (self.sent.get(echo, LONG_AGO), ballots)
+    def receive_numbers(
+        self, peer: str, acknowledged: int | None, numbers: Mapping[str, ProposalNumber]
+    ) -> None:
+        """A peer reports, per key, the newest number that it has accepted or knows to be committed."""
+        self.reported[peer] = ReportedNumbers(self._date_of(acknowledged), numbers)
 
     def holds(self, peer: str, now: float) -> bool:
-        """Whether a peer has answered one of our beats of late.
-
-        >>> Contact(7).holds("b", 0.0)
-        False
-        """
-        return now - self.answered.get(peer, LONG_AGO) < CONTACT_S
+        """Whether a peer has acknowledged one of our heartbeats lately."""
+        return now - self.answered_at.get(peer, NEVER) < CONTACT_S
 
-    def has_told(self, peer: str, now: float) -> bool:
-        """Whether what a peer told of its ballots is recent.
-
-        >>> Contact(7).has_told("b", 0.0)
-        False
-        """
-        return now - self.told.get(peer, (LONG_AGO,))[0] < TOLD_S
+    def has_reported(self, peer: str, now: float) -> bool:
+        """Whether what a peer reported of its numbers is recent."""
+        report = self.reported.get(peer)
+        return report is not None and now - report.dated < REPORTED_S
 
 
-def newest_ballots(decided: dict, undecided: dict) -> dict[str, Ballot]:
-    """One ballot for each key, of those known to be decided and those accepted only.
+def newest_numbers(
+    committed: Mapping[str, ProposalNumber], uncommitted: Mapping[str, ProposalNumber]
+) -> dict[str, ProposalNumber]:
+    """The newest number of each key, of those known to be committed and those accepted only.
 
-    >>> newest_ballots({"k": (1, "a", 7)}, {"k": (2, "b", 8)})["k"].round
+    >>> newest_numbers({"k": (1, "a", 7)}, {"k": (2, "b", 8)})["k"].round
     2
     """
     return {
-        key: max(Ballot(*decided.get(key, NO_BALLOT)), Ballot(*undecided.get(key, NO_BALLOT)))
-        for key in {*decided, *undecided}
+        key: max(
+            ProposalNumber(*committed.get(key, NO_PROPOSAL)),
+            ProposalNumber(*uncommitted.get(key, NO_PROPOSAL)),
+        )
+        for key in {*committed, *uncommitted}
     }
--- a/sumacloom/consensus/messages.py
+++ b/sumacloom/consensus/messages.py
@@ -1,95 +1,117 @@
-"""What voters and proposers say to one another."""
+"""Messages between proposers and voters.
+
+Tags and the order of fields are those of the first release and are part of the wire: both a class and
+a field may be renamed, neither a tag nor a place may change.
+"""
 
 import msgspec
 
-from sumacloom.consensus.quorum import Configuration
-from sumacloom.types import NO_BALLOT, Ballot
+from sumacloom.consensus.proposal_number import NO_PROPOSAL, ProposalNumber
+from sumacloom.consensus.quorum import QuorumConfiguration
+
 
+class Message(msgspec.Struct, array_like=True):
+    """Base of all messages between daemons."""
 
-class Message(msgspec.Struct, array_like=True, tag=True):
-    pass
 
+class Prepare(Message, tag="Prepare"):
+    """Asks a voter to promise; `quorum` is the identity of the configuration that the proposer counts by."""
 
-class Prepare(Message):
     key: str
-    ballot: Ballot
-    known: Ballot
-    configuration: int = 1  # the generation of the voters that the proposer counts by
+    proposal_number: ProposalNumber
+    known: ProposalNumber  # the proposer holds the value accepted under this number already
+    quorum: int = 1
+
 
+class Promise(Message, tag="Promise"):
+    """A voter's promise, with what it has accepted; no value if there is none or the proposer knows it."""
 
-class Promise(Message):
     key: str
-    ballot: Ballot
-    accepted: Ballot
-    value: bytes | None  # None: nothing accepted, or what the asker knows
+    proposal_number: ProposalNumber
+    accepted: ProposalNumber
+    value: bytes | None
     incarnation: int
 
 
-class Accept(Message):
+class Accept(Message, tag="Accept"):
+    """Asks a voter, in the incarnation that promised, to accept a value."""
+
     key: str
-    ballot: Ballot
+    proposal_number: ProposalNumber
     value: bytes
     incarnation: int
-    configuration: int = 1
+    quorum: int = 1
+
 
+class Accepted(Message, tag="Accepted"):
+    """A voter has accepted the value."""
 
-class Accepted(Message):
     key: str
-    ballot: Ballot
+    proposal_number: ProposalNumber
 
 
-class Refused(Message):
+class Rejected(Message, tag="Refused"):
+    """A voter has promised a higher number, or has lost its disk since its promise."""
+
     key: str
-    ballot: Ballot
-    promised: Ballot
+    proposal_number: ProposalNumber
+    promised: ProposalNumber
+
 
+class ReadRequest(Message, tag="Query"):
+    """Asks a voter what it has accepted; the number only tells one read from another."""
 
-class Query(Message):
     key: str
-    ballot: Ballot  # names the reading
-    known: Ballot
-    configuration: int = 1
+    proposal_number: ProposalNumber
+    known: ProposalNumber
+    quorum: int = 1
+
 
+class ReadReply(Message, tag="Copy"):
+    """What a voter has accepted; no value if there is none or the reader knows it."""
 
-class Copy(Message):
     key: str
-    ballot: Ballot  # of the reading
-    accepted: Ballot
+    proposal_number: ProposalNumber
+    accepted: ProposalNumber
     value: bytes | None
 
 
-class Decided(Message):
+class Committed(Message, tag="Decided"):
+    """The value accepted under this number is committed."""
+
     key: str
-    ballot: Ballot
+    proposal_number: ProposalNumber
 
 
-class Fetch(Message):
-    """Asks for a decided value."""
+class FetchCommitted(Message, tag="Fetch"):
+    """Asks for a committed value."""
 
     key: str
 
 
-class Settled(Message):
-    """A decided value."""
+class CommittedValue(Message, tag="Settled"):
+    """A committed value."""
 
     key: str
-    ballot: Ballot
+    proposal_number: ProposalNumber
     value: bytes
 
 
-class Reconfigured(Message):
-    """Who votes now, for one that counts by other voters; always decided."""
+class QuorumChanged(Message, tag="Reconfigured"):
+    """The sender's quorum configuration, for one that counts by another; it is always committed."""
+
+    quorum: QuorumConfiguration
 
-    configuration: Configuration
 
+class StateRequest(Message, tag="Tell"):
+    """A voter without its state asks for everything; who replies also promises the barrier for every key."""
 
-class Tell(Message):
-    """A voter without memory asks for everything; who tells also promises to refuse what is below the barrier."""
+    barrier: ProposalNumber = NO_PROPOSAL
 
-    barrier: Ballot = NO_BALLOT
 
+class StateTransfer(Message, tag="Told"):
+    """Everything that a voter holds."""
 
-class Told(Message):
-    configuration: Configuration
-    slots: list[tuple[str, Ballot, Ballot, bytes | None]]
-    floor: Ballot = NO_BALLOT  # what the teller promised for every key
+    quorum: QuorumConfiguration
+    registers: list[tuple[str, ProposalNumber, ProposalNumber, bytes | None]]
+    promised_floor: ProposalNumber = NO_PROPOSAL  # promised for every key
--- a/sumacloom/consensus/node.py
+++ b/sumacloom/consensus/node.py
@@ -1,297 +1,439 @@
-"""One registrar's part in the agreement: acceptor, proposals, voters and disk put together, without sockets.
+"""One controller's part in the consensus: acceptor, proposals, voters and storage put together.
 
-Inputs are the methods; messages to peers gather in `outbox` as (peer ip, message). Writes are synced by the
-ledger before a reply is put there. What a decided value means is for whoever builds on it: see `take`.
+No sockets: inputs are the methods, messages to peers gather in `outbox`. What a committed value means
+is for whoever builds on this class: see `apply_committed`, `keys` and `snapshot_records`.
 """
 
-from sumacloom.consensus import reconfiguration, storage
-from sumacloom.consensus.contact import Contact
-from sumacloom.consensus.handlers import HEARERS, KNOWN_S, is_credible
-from sumacloom.consensus.messages import Decided, Prepare, Tell
-from sumacloom.consensus.persistence import OnDisk
-from sumacloom.consensus.proposal import Ballots, Proposal
-from sumacloom.consensus.quorum import Configuration
-from sumacloom.consensus.storage import Storage
-from sumacloom.controller.registers.values import KEYS, decode, keep
-from sumacloom.errors import Err, mishap
-from sumacloom.logs import Scribe
-from sumacloom.settings import Settings, split_address
-from sumacloom.types import NO_BALLOT, Ballot
-
-scribe = Scribe("office")
-ALIVE_S = 1.1
-FINISH_S = 0.6
-ASK_S = 0.3
-
-
-class Node(OnDisk):
-    """One voter, or one that would vote."""
-
-    def __init__(self, settings: Settings, ledger, random, now: float):
-        self.settings, self.storage = settings, Storage(ledger)
+import logging
+import random
+from collections.abc import Callable
+from typing import Any, NamedTuple
+
+from sumacloom.consensus import storage
+from sumacloom.consensus.acceptor import Acceptor
+from sumacloom.consensus.codec import Change, decode, unchanged
+from sumacloom.consensus.contact import PeerContact
+from sumacloom.consensus.messages import (
+    Accept,
+    Accepted,
+    Committed,
+    CommittedValue,
+    FetchCommitted,
+    Message,
+    Prepare,
+    Promise,
+    QuorumChanged,
+    ReadReply,
+    ReadRequest,
+    Rejected,
+    StateRequest,
+    StateTransfer,
+)
+from sumacloom.consensus.proposal import CommittedRegister, Outcome, Proposal, VoterMessage
+from sumacloom.consensus.proposal_number import NO_PROPOSAL, ProposalNumber, ProposalNumberSource
+from sumacloom.consensus.quorum import QuorumConfiguration
+from sumacloom.consensus.reconfiguration import VOTERS_KEY, Reconfiguration
+from sumacloom.consensus.recovery import INCARNATION_BITS, StateRecovery
+from sumacloom.consensus.storage import Log, Storage, WriteBatch
+from sumacloom.consensus.validation import is_credible
+from sumacloom.errors import ForeignLogError, RecoveringError
+from sumacloom.settings import Settings
+
+logger = logging.getLogger(__name__)
+
+ALIVE_S = 1.1  # a peer is alive if a heartbeat of it came within this time
+KNOWN_S = 30.0  # a controller that nobody has named for so long is no longer dialled
+COMPLETE_EVERY_S = 0.6  # how often values accepted but not known to be committed are looked for
+CONTACT_NUMBER_MASK = 0x3FFFFFFF
+NEVER = -1e9
+
+Handler = Callable[[str, Any, float], None]
+"""Handles a peer's message: (peer, message, now)."""
+
+
+class Outgoing(NamedTuple):
+    """A message for a peer, by its address."""
+
+    peer: str
+    message: Any
+
+
+class PeerState(NamedTuple):
+    """The newest heartbeat of a peer, and when it came."""
+
+    received_at: float
+    heartbeat: Any
+
+
+class ConsensusNode:
+    """One voter, or one that would vote.
+
+    Attributes:
+        me: our address, the name that voters and peers go by.
+        committed: per key, the newest value known to be committed.
+        peers: the newest heartbeat of each peer, put there by whoever reads heartbeats.
+        known_at: controllers, and when each was last heard or named by another.
+        outbox: messages to send, taken by the process.
+    """
+
+    def __init__(self, settings: Settings, wal: Log, source: random.Random, now: float):
+        self.settings = settings
+        self.storage = Storage(wal)
         self.now = self.started_at = now
         self.me = settings.ip
-        self.nonce = random.getrandbits(48)
-        self.random = random
-        self.seeds = list(dict.fromkeys(split_address(seed)[0] for seed in settings.seeds))
-        self.ballots = Ballots(self.me, self.nonce, random)
-        self.decided: dict[str, tuple] = {}
+        self.random = source
+        self.nonce = source.getrandbits(INCARNATION_BITS)
+        self.seeds = seed_hosts(settings.seeds)
+        self.proposal_numbers = ProposalNumberSource(self.me, self.nonce, source)
+        self.committed: dict[str, CommittedRegister] = {}
         self.proposals: list[Proposal] = []
-        self.outbox: list[tuple] = []
-        self.tales, self.asked_at, self.barrier = {}, -1e9, NO_BALLOT
-        self.known: dict[str, float] = {}  # registrars: when last named or heard
-        self.unheard: dict[str, float] = {}  # voters that a majority can't hear, since when
-        self.need, self.move = (
-            (None, now),
-            None,
-        )  # what the voters' change waits for, and its last step
-        self.peers: dict[str, tuple] = {}  # peer ip: (heard at, PeerBeat)
-        self.generations: dict[str, int] = {}  # peer: the generation of voters that it last told
-        self.disputed: set[str] = set()  # peers whose first voters are others than ours
-        self.finished_at = -1e9
-        self.contact = Contact(self.nonce & 0x3FFFFFFF)
-        self.acceptor = self.open_acceptor()
-
-    def take(self, key: str, value: bytes, now: float) -> None:
-        """Puts a decided value to use here; whoever builds on this adds its own keys."""
-        if key == reconfiguration.KEY:
-            self.take_configuration(decode(Configuration, value), now)
+        self.outbox: list[Outgoing] = []
+        self.peers: dict[str, PeerState] = {}
+        self.known_at: dict[str, float] = {}
+        self.completed_at = NEVER
+        self.contact = PeerContact(self.nonce & CONTACT_NUMBER_MASK)
+        self.recovery = StateRecovery(self)
+        self.reconfiguration = Reconfiguration(self, now)
+        self.handlers: dict[type, Handler] = {
+            Prepare: self._handle_request,
+            Accept: self._handle_request,
+            ReadRequest: self._handle_request,
+            Promise: self._handle_reply,
+            Accepted: self._handle_reply,
+            Rejected: self._handle_reply,
+            ReadReply: self._handle_reply,
+            Committed: self.handle_committed,
+            FetchCommitted: self._handle_fetch,
+            CommittedValue: self._handle_committed_value,
+            QuorumChanged: self.reconfiguration.handle_quorum_changed,
+            StateRequest: self.recovery.handle_request,
+            StateTransfer: self.recovery.handle_transfer,
+        }
+        self.acceptor = self._open_acceptor()
+
+    # ------------------------------------------------------------ for whoever builds on this
+    def apply_committed(self, key: str, value: bytes, now: float) -> None:
+        """Puts a committed value to use here."""
+        if key == VOTERS_KEY:
+            quorum = decode(QuorumConfiguration, value)
+            if quorum is not None:
+                self.apply_quorum(quorum, now)
+
+    def fixed_keys(self) -> tuple[str, ...]:
+        """The keys that every node has, whatever its registers hold."""
+        return (VOTERS_KEY,)
 
     def keys(self) -> list[str]:
-        """The keys of all registers that are in use, the voters among them."""
-        return list(KEYS)
+        """The keys of all registers in use, the voters among them."""
+        return list(self.fixed_keys())
+
+    def snapshot_records(self) -> list[bytes]:
+        """All state, as a snapshot holds it."""
+        return storage.snapshot_records(self.acceptor)
+
+    # ------------------------------------------------------------ disk
+    def _open_acceptor(self) -> Acceptor:
+        """The acceptor as the log left it; at the very first start of the system, a new one.
+
+        Raises:
+            ForeignLogError: the log is not ours.
+        """
+        wal = self.storage.wal
+        acceptor = storage.restore_acceptor(wal.payloads, self.storage.extension_records)
+        if isinstance(wal.damage, ForeignLogError):
+            raise wal.damage
+        acceptor.recovered = acceptor.recovered and not wal.damage
+        for state in acceptor.registers.values():
+            self.proposal_numbers.observe(state.promised)
+        self.proposal_numbers.observe(acceptor.promised_floor)
+        if not acceptor.recovered:
+            storage.reset_state(acceptor, self.seeds)
+            if self.settings.bootstrap and wal.fresh:
+                storage.bootstrap(acceptor, self.seeds, self.nonce)
+                logger.info("first start, the voters are %s", ", ".join(self.seeds))
+                self.storage.write(storage.snapshot_records(acceptor))
+            else:
+                why = "the disk is empty" if wal.fresh else "the log is incomplete"
+                logger.warning("%s: the state is recovered from the voters before voting", why)
+        wal.payloads = []
+        return acceptor
+
+    def write(self, keys: list[str], promise_only: bool = False) -> None:
+        """Queues the state of these keys for the disk."""
+        if not keys:
+            return
+        self.storage.write(
+            [storage.register_record(self.acceptor, key, promise_only) for key in keys]
+        )
+        self.snapshot_if_due()
 
-    def whole(self) -> list[bytes]:
-        """Everything, as a snapshot holds it; whoever builds on this adds its own records."""
-        return storage.whole(self.acceptor)
+    def write_snapshot(self) -> None:
+        """Queues all state for the disk."""
+        self.storage.write(self.snapshot_records(), complete=True)
 
-    def release(self, peer: str, message) -> None:
-        """Sends a vote's reply, once all that was written before it is on disk."""
-        if not self.storage.hold(peer, message):
-            self.deliver(peer, message)
+    def snapshot_if_due(self) -> None:
+        """Takes a snapshot at once where this storage is synchronous and the log is long enough."""
+        if self.storage.synchronous and self.storage.wal.should_snapshot:
+            self.storage.wal.snapshot(self.snapshot_records())
 
-    def deliver(self, peer: str, message) -> None:
+    def handle_synced(self, batches: list[WriteBatch], now: float) -> None:
+        """The disk holds these batches: what waited for them leaves."""
+        self.now = now
+        for peer, message in self.storage.mark_synced(batches):
+            self.send(peer, message)
+
+    # ------------------------------------------------------------ sending
+    def send_when_synced(self, peer: str, message: Any) -> None:
+        """Sends a message once all that was written before it is on disk."""
+        if not self.storage.defer(peer, message):
+            self.send(peer, message)
+
+    def send(self, peer: str, message: Any) -> None:
         """A message to a peer, or to ourselves."""
         if peer == self.me:
-            self.hear(peer, message, self.now)
+            self.receive(peer, message, self.now)
         else:
-            self.outbox.append((peer, message))
+            self.outbox.append(Outgoing(peer, message))
 
-    def written(self, batches: list, now: float) -> None:
-        """The disk holds these batches: what waited for them leaves."""
-        self.now = now
-        for peer, message in self.storage.written(batches):
-            self.deliver(peer, message)
+    def broadcast(self, message: Any) -> None:
+        """A message to every other controller."""
+        self.outbox.extend(Outgoing(peer, message) for peer in self.peer_addresses())
 
-    @property
-    def votes(self) -> bool:
-        """Whether this registrar is a voter that has all it needs."""
-        return self.acceptor.learned and self.me in self.acceptor.configuration.members
-
-    def heard_majority(self, now: float) -> bool:
-        """Whether enough voters are heard, and hear us, to decide anything."""
-        configuration = self.acceptor.configuration
-        return configuration.has_quorum(
-            [
-                peer
-                for peer in configuration.members
-                if peer == self.me
-                or (
-                    self.alive(peer, now)
-                    and self.contact.holds(peer, now)
-                    and self.me in self.peers[peer][1].hears
-                )
-            ]
-        )
+    def peer_addresses(self) -> list[str]:
+        """The controllers to keep links to."""
+        known = [peer for peer, named_at in self.known_at.items() if self.now - named_at < KNOWN_S]
+        return sorted({*self.seeds, *self.acceptor.quorum.members, *known} - {self.me})
+
+    def _send_to_voters(self, messages: list[VoterMessage]) -> None:
+        for voter, message in messages:
+            if voter != self.me:
+                self.outbox.append(Outgoing(voter, message))
+            else:
+                self._vote(self.me, message)
 
-    def propose(self, key: str, change, now: float, reading: bool = False) -> Proposal:
-        """Starts a change or a reading; its `outcome` comes with later inputs."""
+    # ------------------------------------------------------------ receiving
+    def receive(self, peer: str, message: Any, now: float) -> None:
+        """A message of a peer, or of ourselves."""
+        self.now = now
+        handler = self.handlers.get(type(message))
+        if handler is None:
+            return
+        if is_credible(peer, message):
+            handler(peer, message, now)
+        else:
+            name = type(message).__name__
+            logger.warning("%s sent a %s with another's number, or one out of range", peer, name)
+
+    def _handle_request(self, peer: str, message: Any, now: float) -> None:
+        if not isinstance(message, ReadRequest):
+            self.proposal_numbers.observe(message.proposal_number)
+        self._vote(peer, message)
+
+    def _vote(self, peer: str, message: Any) -> None:
+        """Our acceptor's reply; it leaves once its writes are on disk."""
+        reply, dirty_keys = self.acceptor.receive(message)
+        self.write(dirty_keys, promise_only=isinstance(message, Prepare))
+        if reply is not None:
+            self.send_when_synced(peer, reply)
+
+    def _handle_reply(self, peer: str, message: Any, now: float) -> None:
+        for proposal in [one for one in self.proposals if one.key == message.key]:
+            self._send_to_voters(proposal.receive(peer, message, now))
+            self._finish(proposal, now)
+
+    def handle_committed(self, peer: str, message: Committed, now: float) -> None:
+        """A peer knows a value to be committed: it is taken from our own acceptor, or fetched."""
+        state = self.acceptor.register_state(message.key)
+        if state.accepted == message.proposal_number and state.value is not None:
+            self.commit(message.key, message.proposal_number, state.value, now)
+        elif message.proposal_number > self.committed_number(message.key):
+            self.outbox.append(Outgoing(peer, FetchCommitted(message.key)))
+
+    def _handle_fetch(self, peer: str, message: FetchCommitted, now: float) -> None:
+        if message.key in self.committed:
+            number, value = self.committed[message.key]
+            reply: Message = CommittedValue(message.key, number, value or b"")
+            self.outbox.append(Outgoing(peer, reply))
+
+    def _handle_committed_value(self, peer: str, message: CommittedValue, now: float) -> None:
+        self.commit(message.key, message.proposal_number, message.value, now)
+
+    # ------------------------------------------------------------ proposals
+    def propose(self, key: str, change: Change, now: float, reading: bool = False) -> Proposal:
+        """Starts a change or a read of a register; its `outcome` comes with later inputs."""
         self.now = now
-        slot = self.acceptor.slot(key)
-        known = (slot.accepted, slot.value)
+        state = self.acceptor.register_state(key)
         proposal = Proposal(
-            key, change, self.acceptor.configuration, known, self.ballots, now, reading=reading
+            key,
+            change,
+            self.acceptor.quorum,
+            (state.accepted, state.value),
+            self.proposal_numbers,
+            now,
+            reading=reading,
         )
-        if not self.acceptor.learned:
-            proposal.outcome = Err(mishap("rejoining"))
+        if not self.acceptor.recovered:
+            proposal.outcome = Outcome(error=RecoveringError())
             return proposal
-        if not reading and any(other.key == key and not other.reading for other in self.proposals):
-            proposal.hold()  # two of our own would only outbid each other
+        if not reading and any(one.key == key and not one.reading for one in self.proposals):
+            proposal.queue()  # two of our own would only outbid each other
         self.proposals.append(proposal)
-        self.post(proposal.messages(), now)
-        self.conclude(proposal, now)
+        self._send_to_voters(proposal.messages())
+        self._finish(proposal, now)
         return proposal
 
-    def post(self, messages: list[tuple], now: float) -> None:
-        """Messages to voters; those to ourselves are handled here and now."""
-        for voter, message in messages:
-            if voter != self.me:
-                self.outbox.append((voter, message))
-            else:
-                self.vote(self.me, message)
-
-    def vote(self, peer: str, message) -> None:
-        """Our vote on a proposal's message; it leaves once its writes are on disk."""
-        reply, keys = self.acceptor.hear(message)
-        self.write(keys, promise_only=isinstance(message, Prepare))
-        if reply is not None:
-            self.release(peer, reply)
+    def is_busy(self, key: str) -> bool:
+        """Whether a proposal of this node on a key is under way."""
+        return any(proposal.key == key for proposal in self.proposals)
 
-    def conclude(self, proposal: Proposal, now: float) -> None:
-        """Publishes what a proposal decided, and drops it once it has an outcome."""
+    def _finish(self, proposal: Proposal, now: float) -> None:
+        """Drops a proposal that has ended, and publishes what it committed."""
         if proposal.outcome is None or proposal not in self.proposals:
             return
         self.proposals.remove(proposal)
-        if proposal.decided:
-            ballot, value = proposal.decided
-            if self.settle(proposal.key, ballot, value, now):
-                self.tell_all(Decided(proposal.key, ballot))
-        self.release_held(proposal.key, now)
-
-    def release_held(self, key: str, now: float) -> None:
-        """The next change of a key begins once the one before it has ended."""
-        ours = [
-            proposal for proposal in self.proposals if proposal.key == key and not proposal.reading
-        ]
-        if ours and all(proposal.held for proposal in ours):
-            slot = self.acceptor.slot(key)
-            ours[0].known_ballot, ours[0].known_value = slot.accepted, slot.value
-            ours[0].begin(now)
-            self.post(ours[0].messages(), now)
-            self.conclude(ours[0], now)
-
-    def settle(self, key: str, ballot: Ballot, value: bytes, now: float) -> bool:
-        """Takes a decided value into force here; an older one changes nothing."""
-        ballot = Ballot(*ballot)
-        if ballot <= self.decided.get(key, (NO_BALLOT,))[0]:
+        if proposal.committed is not None:
+            number, value = proposal.committed
+            if value is not None and self.commit(proposal.key, number, value, now):
+                self.broadcast(Committed(proposal.key, number))
+        self._start_queued(proposal.key, now)
+
+    def _start_queued(self, key: str, now: float) -> None:
+        """The next change of a key starts once the one before it has ended."""
+        own = [one for one in self.proposals if one.key == key and not one.reading]
+        if not own or not all(proposal.queued for proposal in own):
+            return
+        state = self.acceptor.register_state(key)
+        own[0].known_number, own[0].known_value = state.accepted, state.value
+        own[0].start_round(now)
+        self._send_to_voters(own[0].messages())
+        self._finish(own[0], now)
+
+    def commit(self, key: str, number: ProposalNumber, value: bytes, now: float) -> bool:
+        """Takes a committed value into use here; returns False for one that is not newer."""
+        number = ProposalNumber(*number)
+        if number <= self.committed_number(key):
             return False
-        self.decided[key] = (ballot, value)
-        self.ballots.saw(ballot)
-        self.write(self.acceptor.mend(key, ballot, value))
-        self.take(key, value, now)
+        self.committed[key] = CommittedRegister(number, value)
+        self.proposal_numbers.observe(number)
+        self.write(self.acceptor.repair(key, number, value))
+        self.apply_committed(key, value, now)
         return True
 
-    def take_configuration(self, configuration: Configuration, now: float) -> None:
-        """Newer voters, already decided: we vote among them alone, and our proposals begin again."""
-        if configuration.generation <= self.acceptor.configuration.generation:
+    def committed_number(self, key: str) -> ProposalNumber:
+        """The number of the newest value of a key known to be committed."""
+        register = self.committed.get(key)
+        return register.proposal_number if register else NO_PROPOSAL
+
+    def apply_quorum(self, quorum: QuorumConfiguration, now: float) -> None:
+        """Newer voters, already committed: we vote among them alone, and our proposals restart."""
+        if quorum.version <= self.acceptor.quorum.version:
             return
-        self.acceptor.configuration = configuration
-        if self.acceptor.learned:
+        self.acceptor.quorum = quorum
+        if self.acceptor.recovered:
             self.storage.write([storage.meta_record(self.acceptor)])
-        scribe.say(
-            "the voters %d are %s%s",
-            configuration.generation,
-            ", ".join(configuration.new),
-            f", jointly with {', '.join(configuration.old)}" if configuration.old else "",
-        )
+        joint = f", jointly with {', '.join(quorum.old)}" if quorum.old else ""
+        logger.info("the voters %d are %s%s", quorum.version, ", ".join(quorum.new), joint)
         for proposal in list(self.proposals):
-            self.post(proposal.count_by(configuration, now), now)
-            self.conclude(proposal, now)
+            self._send_to_voters(proposal.use_quorum(quorum, now))
+            self._finish(proposal, now)
 
-    def hear(self, peer: str, message, now: float) -> None:
-        """A message of a peer, or of ourselves."""
-        self.now = now
-        handler = HEARERS.get(type(message))
-        if handler and not is_credible(peer, message):
-            scribe.warn(
-                "%s sent what it may not: a %s with another's ballot, or out of range",
-                peer,
-                type(message).__name__,
-            )
-        elif handler:
-            handler(self, peer, message, now)
-
-    def settled(self, now: float) -> bool:
-        """Whether we hear a majority, and lack nothing that it had accepted when it last told."""
-        if not self.heard_majority(now) or not self.acceptor.learned:
+    # ------------------------------------------------------------ standing
+    @property
+    def is_voter(self) -> bool:
+        """Whether this node votes: it is among the voters and has its state."""
+        return self.acceptor.recovered and self.me in self.acceptor.quorum.members
+
+    def last_heartbeat_at(self, peer: str, now: float) -> float:
+        """When a peer's newest heartbeat came; long ago if never."""
+        if peer == self.me:
+            return now
+        state = self.peers.get(peer)
+        return state.received_at if state else NEVER
+
+    def is_alive(self, peer: str, now: float) -> bool:
+        """Whether a heartbeat of a peer came lately."""
+        return now - self.last_heartbeat_at(peer, now) < ALIVE_S
+
+    def acknowledges_us(self, peer: str) -> bool:
+        """Whether a peer's newest heartbeat says that it receives ours."""
+        return self.me in self.peers[peer].heartbeat.heartbeats_received
+
+    def has_quorum_contact(self, now: float) -> bool:
+        """Whether enough voters are heard, and receive our heartbeats, to decide anything."""
+        quorum = self.acceptor.quorum
+        return quorum.has_quorum([peer for peer in quorum.members if self._in_contact(peer, now)])
+
+    def _in_contact(self, peer: str, now: float) -> bool:
+        if peer == self.me:
+            return True
+        return (
+            self.is_alive(peer, now)
+            and self.contact.holds(peer, now)
+            and self.acknowledges_us(peer)
+        )
+
+    def in_quorum(self, now: float) -> bool:
+        """Whether we are in contact with a quorum and lack nothing that it had accepted lately."""
+        if not self.has_quorum_contact(now) or not self.acceptor.recovered:
             return False
-        configuration = self.acceptor.configuration
-        told = [
+        quorum = self.acceptor.quorum
+        reported = [
             peer
-            for peer in configuration.members
-            if peer == self.me or self.contact.has_told(peer, now)
+            for peer in quorum.members
+            if peer == self.me or self.contact.has_reported(peer, now)
         ]
-        return configuration.has_quorum(told) and not self.lacking(now)
+        return quorum.has_quorum(reported) and not self.missing_keys(now)
 
-    def undecided(self) -> dict[str, Ballot]:
-        """What is accepted here and not known to be decided."""
-        newest = {key: self.acceptor.slot(key).accepted for key in self.keys()}
+    def uncommitted(self) -> dict[str, ProposalNumber]:
+        """What our acceptor holds and is not known to be committed."""
+        newest = {key: self.acceptor.register_state(key).accepted for key in self.keys()}
         return {
             key: accepted
             for key, accepted in newest.items()
-            if accepted > self.decided.get(key, (NO_BALLOT,))[0]
+            if accepted > self.committed_number(key)
         }
 
-    def lacking(self, now: float) -> list[str]:
-        """The keys of which we, or a voter that is heard, hold something newer than is known here to be decided."""
-        mine = {key: self.decided.get(key, (NO_BALLOT,))[0] for key in self.keys()}
-        told = [
-            self.contact.told[peer][1]
-            for peer in self.acceptor.configuration.members
-            if peer in self.contact.told and self.alive(peer, now)
+    def missing_keys(self, now: float) -> list[str]:
+        """The keys of which we, or a voter that is alive, hold something newer than committed here."""
+        own = {key: self.committed_number(key) for key in self.keys()}
+        reports = [
+            self.contact.reported[peer].numbers
+            for peer in self.acceptor.quorum.members
+            if peer in self.contact.reported and self.is_alive(peer, now)
         ]
-        return sorted(
-            {
-                *self.undecided(),
-                *(
-                    key
-                    for ballots in told
-                    for key, ballot in ballots.items()
-                    if key in mine and ballot > mine[key]
-                ),
-            }
-        )
+        newer = {
+            key
+            for numbers in reports
+            for key, number in numbers.items()
+            if key in own and number > own[key]
+        }
+        return sorted({*self.uncommitted(), *newer})
 
-    def finish_undecided(self, now: float) -> None:
-        """The sweep: settles values that are accepted here but not known to be decided."""
+    # ------------------------------------------------------------ timers
+    def complete_uncommitted(self, now: float) -> None:
+        """Anti-entropy: commits values that are accepted here but not known to be committed."""
         busy = {proposal.key for proposal in self.proposals}
-        for key in self.keys():
-            accepted = self.acceptor.slot(key).accepted
-            if key not in busy and accepted > self.decided.get(key, (NO_BALLOT,))[0]:
-                self.propose(key, keep, now, reading=True)
-
-    # ------------------------------------------------------------ peers
-    def others(self) -> list[str]:
-        """The registrars to keep links to."""
-        known = [peer for peer, named in self.known.items() if self.now - named < KNOWN_S]
-        return sorted({*self.seeds, *self.acceptor.configuration.members, *known} - {self.me})
-
-    def tell_all(self, message) -> None:
-        """A message to every other registrar."""
-        self.outbox.extend((peer, message) for peer in self.others())
-
-    def alive(self, peer: str, now: float) -> bool:
-        """Whether a registrar was heard of late."""
-        return now - self.heard_at(peer, now) < ALIVE_S
-
-    def heard_at(self, peer: str, now: float) -> float:
-        """When a registrar was last heard; long ago if never."""
-        return now if peer == self.me else self.peers.get(peer, (-1e9,))[0]
-
-    # ------------------------------------------------------------ clock
-    def tick_agreement(self, now: float) -> None:
-        """All that is due of proposals, of learning and of the voters."""
+        for key in self.uncommitted():
+            if key not in busy:
+                self.propose(key, unchanged, now, reading=True)
+
+    def tick_consensus(self, now: float) -> None:
+        """All that is due of proposals, recovery and voters."""
         self.now = now
         for proposal in list(self.proposals):
-            self.post(proposal.alarm(now), now)
-            self.conclude(proposal, now)
-        if not self.acceptor.learned and now - self.asked_at >= ASK_S:
-            self.ask(now)
-        if self.acceptor.learned and now - self.finished_at >= FINISH_S:
-            self.finished_at = now
-            self.finish_undecided(now)
-        reconfiguration.mind_voters(self, now)
-
-    def ask(self, now: float) -> None:
-        """Without memory: asks all others for what they hold, and for a promise against all that was before."""
-        self.asked_at = now
-        above = any(
-            Ballot(*promised) > self.barrier
-            for told in self.tales.values()
-            for promised in (told.floor, *(slot[1] for slot in told.slots))
-        )
-        if (
-            self.barrier == NO_BALLOT or above
-        ):  # another barrier: some had promised above the last one
-            self.barrier, self.tales = self.ballots.next(), {}
-        self.tell_all(Tell(self.barrier))
+            self._send_to_voters(proposal.on_timer(now))
+            self._finish(proposal, now)
+        self.recovery.on_timer(now)
+        if self.acceptor.recovered and now - self.completed_at >= COMPLETE_EVERY_S:
+            self.completed_at = now
+            self.complete_uncommitted(now)
+        self.reconfiguration.on_timer(now)
+
+
+def seed_hosts(seeds: list[str]) -> list[str]:
+    """The hosts of seed addresses, each once.
+
+    >>> seed_hosts(["10.0.0.1:80", "10.0.0.1:81", "10.0.0.2:80"])
+    ['10.0.0.1', '10.0.0.2']
+    """
+    return list(dict.fromkeys(seed.rpartition(":")[0] for seed in seeds))
--- a/sumacloom/consensus/quorum.py
+++ b/sumacloom/consensus/quorum.py
@@ -1,75 +1,80 @@
-"""Who votes, as daemons tell one another."""
+"""Quorum configurations: who votes, and which of them suffice to decide."""
 
 import zlib
+from collections.abc import Collection
 
 import msgspec
 
-FIRST = 1  # the generation of the first start's voters, which no round decided
+INITIAL_VERSION = 1  # of the first start's voters, which come from settings and not from a round
 
 
-class Configuration(msgspec.Struct, array_like=True, frozen=True):
-    """Who votes. While `old` is not empty, every round needs a majority of the old and of the new set.
+class QuorumConfiguration(msgspec.Struct, array_like=True, frozen=True):
+    """A set of voters. While `old` is not empty it is joint: a majority of both sets is needed.
 
-    >>> Configuration(2, ("a", "b", "c"), ("a", "b", "d")).has_quorum({"a", "b"})
+    >>> QuorumConfiguration(2, ("a", "b", "c"), ("a", "b", "d")).has_quorum({"a", "b"})
     True
-    >>> Configuration(2, ("a", "b", "c"), ("a", "b", "d")).has_quorum({"a", "c"})
+    >>> QuorumConfiguration(2, ("a", "b", "c"), ("a", "b", "d")).has_quorum({"a", "c"})
     False
     """
 
-    generation: int
+    version: int
     old: tuple[str, ...]
     new: tuple[str, ...]
 
     @property
-    def mark(self) -> int:
-        """What rounds name the voters by: the generation; of the first, which only settings name, the set itself.
+    def identity(self) -> int:
+        """What messages name this configuration by: its version, but for the initial one.
 
-        >>> Configuration(2, (), ("a", "b")).mark, Configuration(1, (), ("a", "b")).mark == Configuration(1, (), ("b", "a")).mark
-        (2, True)
-        >>> Configuration(1, (), ("a", "b")).mark == Configuration(1, (), ("a", "c")).mark
-        False
+        The initial voters come from each controller's own settings, so two controllers may disagree
+        about them under the same version. They are therefore named by a checksum of the set.
+
+        >>> QuorumConfiguration(2, (), ("a", "b")).identity
+        2
+        >>> first, same = QuorumConfiguration(1, (), ("a", "b")), QuorumConfiguration(1, (), ("b", "a"))
+        >>> first.identity == same.identity, first.identity == QuorumConfiguration(1, (), ("a", "c")).identity
+        (True, False)
         """
-        return (
-            self.generation
-            if self.generation != FIRST
-            else -1 - zlib.crc32(",".join(sorted(self.new)).encode())
-        )
+        if self.version != INITIAL_VERSION:
+            return self.version
+        return -1 - zlib.crc32(",".join(sorted(self.new)).encode())
 
     @property
     def members(self) -> list[str]:
         """Everyone who has a vote.
 
-        >>> Configuration(2, ("a", "b"), ("b", "c")).members
+        >>> QuorumConfiguration(2, ("a", "b"), ("b", "c")).members
         ['a', 'b', 'c']
         """
         return sorted({*self.old, *self.new})
 
     @property
-    def sets(self) -> list[tuple]:
-        """The sets that each need a majority.
-
-        >>> Configuration(1, (), ("a", "b")).sets
-        [('a', 'b')]
-        """
+    def voter_sets(self) -> list[tuple[str, ...]]:
+        """The sets that each need a majority."""
         return [voters for voters in (self.old, self.new) if voters]
 
-    def has_quorum(self, voices) -> bool:
-        """Whether these voices are a majority of each set.
+    def has_quorum(self, voters: Collection[str]) -> bool:
+        """Whether these voters are a majority of each set.
 
-        >>> Configuration(1, (), ("a", "b", "c")).has_quorum(["a"]), Configuration(1, (), ()).has_quorum(["a"])
-        (False, False)
+        >>> QuorumConfiguration(1, (), ("a", "b", "c")).has_quorum(["a"])
+        False
+        >>> QuorumConfiguration(1, (), ()).has_quorum(["a"])
+        False
         """
-        return bool(self.sets) and all(
-            sum(voter in voices for voter in voters) > len(voters) // 2 for voters in self.sets
+        sets = self.voter_sets
+        return bool(sets) and all(
+            sum(voter in voters for voter in members) > len(members) // 2 for members in sets
         )
 
-    def meets_every_quorum(self, voices) -> bool:
-        """Whether these voices meet every majority that could have decided.
+    def intersects_every_quorum(self, voters: Collection[str]) -> bool:
+        """Whether every quorum that could have decided has one of these voters.
 
-        >>> Configuration(1, (), ("a", "b", "c", "d")).meets_every_quorum({"a", "b"}), Configuration(1, (), ("a", "b", "c")).meets_every_quorum({"a"})
-        (True, False)
+        >>> QuorumConfiguration(1, (), ("a", "b", "c", "d")).intersects_every_quorum({"a", "b"})
+        True
+        >>> QuorumConfiguration(1, (), ("a", "b", "c")).intersects_every_quorum({"a"})
+        False
         """
-        return bool(self.sets) and all(
-            sum(voter in voices for voter in voters) >= len(voters) - len(voters) // 2
-            for voters in self.sets
+        sets = self.voter_sets
+        return bool(sets) and all(
+            sum(voter in voters for voter in members) >= len(members) - len(members) // 2
+            for members in sets
         )
--- a/sumacloom/consensus/storage.py
+++ b/sumacloom/consensus/storage.py
@@ -1,278 +1,270 @@
-"""What a registrar keeps on disk, and what waits for it.
+"""What a node keeps on disk, and which messages wait until it is there.
 
-Nothing that was put behind a write leaves before that write is synced. With `prompt` the sync happens
-at once, in the same thread; without it the shell syncs whole batches in a thread of its own, so that a
-disk that hangs holds up nothing but votes.
+A message deferred behind a write never leaves before that write is synced. A `synchronous` storage
+syncs at once, in the caller; otherwise the process syncs whole batches in a thread of its own, so that
+a disk that hangs holds up votes and nothing else.
+
+Records are msgpack arrays whose first item is their kind. The kinds and their layouts are read back
+from disks of earlier releases and never change.
 """
 
-from typing import NamedTuple
+from collections.abc import Callable
+from typing import Any, NamedTuple, Protocol
 
 import msgspec
 
-from sumacloom.consensus.acceptor import Acceptor, Slot
-from sumacloom.consensus.quorum import Configuration
-from sumacloom.errors import Err, Ok, mishap
-from sumacloom.logs import Scribe
-from sumacloom.types import NO_BALLOT, Ballot
+from sumacloom.consensus.acceptor import Acceptor, RegisterState
+from sumacloom.consensus.proposal_number import NO_PROPOSAL, ProposalNumber
+from sumacloom.consensus.quorum import INITIAL_VERSION, QuorumConfiguration
+from sumacloom.errors import ForeignLogError, SumacloomError
 
-scribe = Scribe("office")
-FIRST_PAUSE_S, MOST_PAUSE_S = 1.0, 30.0  # between tries of a snapshot that the disk refuses
-OTHER_KINDS = {
-    "spooled": 8,
-    "spent": 4,
-    "roster": 2,
-}  # not the acceptor's, and how long such a record is
+FIRST_RETRY_S, MAX_RETRY_S = 1.0, 30.0  # between attempts at a snapshot that the disk refuses
+NEVER = -1e9
 
+# kinds of records that belong to whoever builds on the node, and how many items each has
+EXTENSION_KINDS = {"spooled": 8, "spent": 4, "roster": 2}
 
-def encode(record: tuple) -> bytes:
-    """A record as the ledger keeps it.
+Record = tuple[Any, ...]
 
-    >>> encode(("spent", 7, "books", 1))[:7]
-    b'\\x94\\xa5spent'
-    """
-    return msgspec.msgpack.encode(record)
 
+class Log(Protocol):
+    """What storage needs of a write-ahead log."""
 
-class ForeignLedger(Exception):
-    """The ledger holds what is not ours; `found` is the numbered mishap."""
+    payloads: list[bytes]
+    fresh: bool
+    damage: SumacloomError | None
 
-    def __init__(self, found):
-        super().__init__(found.sentence)
-        self.found = found
+    @property
+    def should_snapshot(self) -> bool:
+        """Whether it is time to replace the log by a snapshot."""
 
+    @property
+    def must_snapshot(self) -> bool:
+        """Whether the log may not grow before a snapshot."""
 
-class Batch(NamedTuple):
-    """Records to write, and what may leave once they are on disk.
+    def append(self, payloads: list[bytes]) -> None:
+        """Writes and syncs records."""
 
-    >>> Batch([b"one"], []).after
-    []
-    """
+    def snapshot(self, payloads: list[bytes]) -> None:
+        """Replaces everything by a snapshot."""
+
+
+class Deferred(NamedTuple):
+    """A message that leaves once all that was written before it is synced."""
+
+    peer: str
+    message: Any
 
-    payloads: list
-    after: list
-    whole: bool = False  # everything there is, so that nothing before it is needed
+
+class WriteBatch(NamedTuple):
+    """Records to write, and what may leave once they are synced."""
+
+    payloads: list[bytes]
+    deferred: list[Deferred]
+    complete: bool = False  # all state there is: nothing written before it is needed
 
 
 class Storage:
-    """The writes of one registrar, in their order.
+    """The writes of one node, in their order.
 
-    >>> import tempfile; from sumacloom.wal.log import Ledger
-    >>> storage = Storage(Ledger(tempfile.mkdtemp()), prompt=False); storage.write([b"one"]); storage.hold("b", "reply")
+    >>> import tempfile; from sumacloom.wal.log import WriteAheadLog
+    >>> storage = Storage(WriteAheadLog(tempfile.mkdtemp()), synchronous=False)
+    >>> storage.write([b"one"]); storage.defer("b", "reply")
     True
-    >>> batches = storage.take(); storage.sync(batches); storage.written(batches)
-    [('b', 'reply')]
+    >>> batches = storage.pending_batches(); storage.sync(batches); storage.mark_synced(batches)
+    [Deferred(peer='b', message='reply')]
     """
 
-    def __init__(self, ledger, prompt: bool = True):
-        self.ledger, self.prompt = ledger, prompt
-        self.batches: list[Batch] = []
-        self.others: list[tuple] = []  # records of the spool and the roster, as the ledger had them
-        self.snapshot_taken()
-
-    def write(self, payloads: list, whole: bool = False) -> None:
-        """Puts records on their way to the disk; `whole` if they are everything there is."""
-        batch = Batch(payloads, [], whole)
-        if self.prompt:
+    def __init__(self, wal: Log, synchronous: bool = True):
+        self.wal = wal
+        self.synchronous = synchronous
+        self.batches: list[WriteBatch] = []
+        self.extension_records: list[Record] = []  # as the log had them at the start
+        self.snapshot_at = NEVER
+        self.retry_s = FIRST_RETRY_S
+
+    def write(self, payloads: list[bytes], complete: bool = False) -> None:
+        """Queues records for the disk; `complete` if they are all the state there is."""
+        batch = WriteBatch(payloads, [], complete)
+        if self.synchronous:
             self.sync([batch])
         else:
             self.batches.append(batch)
 
-    def write_records(self, records: list[tuple]) -> None:
-        """Puts records of the spool or the roster on their way to the disk."""
-        self.write([encode(record) for record in records])
-
-    def hold(self, peer: str, message) -> bool:
-        """Keeps a message back until all that was written before it is synced; False if nothing is unsynced.
+    def write_records(self, records: list[Record]) -> None:
+        """Queues records of whoever builds on the node."""
+        self.write([encode_record(record) for record in records])
 
-        >>> Storage(None).hold("b", "reply")
-        False
-        """
+    def defer(self, peer: str, message: Any) -> bool:
+        """Holds a message back until all writes queued so far are synced; False if none is queued."""
         if self.batches:
-            self.batches[-1].after.append((peer, message))
+            self.batches[-1].deferred.append(Deferred(peer, message))
         return bool(self.batches)
 
-    def take(self) -> list[Batch]:
-        """The batches to sync now; they count as unsynced until `written`.
-
-        >>> Storage(None).take()
-        []
-        """
+    def pending_batches(self) -> list[WriteBatch]:
+        """The batches to sync now; they stay pending until `mark_synced`."""
         return list(self.batches)
 
-    def sync(self, batches: list[Batch]) -> None:
-        """Writes and syncs; this is what waits for the disk. A damaged ledger gets a snapshot once all is learned anew."""
-        learned = [place for place, batch in enumerate(batches) if batch.whole]
-        if learned and self.ledger.damaged:
-            self.ledger.snapshot(batches[learned[-1]].payloads)
-            batches = batches[learned[-1] + 1 :]
+    def sync(self, batches: list[WriteBatch]) -> None:
+        """Writes and syncs; blocks on the disk. A damaged log is replaced by the first complete state.
+
+        Raises:
+            OSError: the disk refused; the same call may be made again.
+        """
+        complete = [index for index, batch in enumerate(batches) if batch.complete]
+        if complete and self.wal.damage:
+            self.wal.snapshot(batches[complete[-1]].payloads)
+            batches = batches[complete[-1] + 1 :]
         if batches:
-            self.ledger.append([payload for batch in batches for payload in batch.payloads])
+            self.wal.append([payload for batch in batches for payload in batch.payloads])
+
+    def mark_synced(self, batches: list[WriteBatch]) -> list[Deferred]:
+        """The first batches are synced; returns the messages that may leave now."""
+        del self.batches[: len(batches)]
+        return [deferred for batch in batches for deferred in batch.deferred]
 
     def snapshot_due(self, now: float) -> bool:
-        """Whether the log is to be replaced by a snapshot now; after a refusal only some time later, unless all waits for it.
+        """Whether to replace the log by a snapshot now; after a refusal only later, unless it must be.
 
-        >>> import tempfile; from sumacloom.wal.log import Ledger
-        >>> Storage(Ledger(tempfile.mkdtemp())).snapshot_due(0.0), Storage(Ledger(tempfile.mkdtemp(), 0)).snapshot_due(0.0)
-        (False, True)
+        >>> import tempfile; from sumacloom.wal.log import WriteAheadLog
+        >>> Storage(WriteAheadLog(tempfile.mkdtemp())).snapshot_due(0.0)
+        False
+        >>> Storage(WriteAheadLog(tempfile.mkdtemp(), 0)).snapshot_due(0.0)
+        True
         """
-        return self.ledger.crowded or (self.ledger.full and now >= self.snapshot_at)
+        return self.wal.must_snapshot or (self.wal.should_snapshot and now >= self.snapshot_at)
 
     def snapshot_refused(self, now: float) -> None:
-        """The disk refused one: the next try comes after a growing pause.
-
-        >>> storage = Storage(None); storage.snapshot_refused(1.0); storage.snapshot_refused(2.0); storage.snapshot_at
-        4.0
-        """
-        self.snapshot_at = now + self.pause_s
-        self.pause_s = min(2 * self.pause_s, MOST_PAUSE_S)
+        """The disk refused a snapshot: the next attempt comes after a delay that doubles."""
+        self.snapshot_at = now + self.retry_s
+        self.retry_s = min(2 * self.retry_s, MAX_RETRY_S)
 
     def snapshot_taken(self) -> None:
-        """The disk took one.
-
-        >>> storage = Storage(None); storage.snapshot_refused(1.0); storage.snapshot_taken(); storage.pause_s
-        1.0
-        """
-        self.snapshot_at, self.pause_s = -1e9, FIRST_PAUSE_S
+        """The disk took a snapshot."""
+        self.snapshot_at = NEVER
+        self.retry_s = FIRST_RETRY_S
 
-    def written(self, batches: list[Batch]) -> list[tuple]:
-        """The batches are synced: gives what may leave now.
 
-        >>> Storage(None).written([])
-        []
-        """
-        del self.batches[: len(batches)]
-        return [held for batch in batches for held in batch.after]
+def encode_record(record: Record) -> bytes:
+    """A record as the log keeps it."""
+    return msgspec.msgpack.encode(record)
 
 
 def meta_record(acceptor: Acceptor) -> bytes:
-    """The record that says who votes, and in which incarnation; whoever finds it finds all before it.
+    """The record of voters and incarnation; a log that has it has all the state before it."""
+    return encode_record(("meta", acceptor.quorum, acceptor.incarnation))
 
-    >>> meta_record(Acceptor(Configuration(1, (), ("a",)), 1))[:6]
-    b'\\x93\\xa4meta'
-    """
-    return msgspec.msgpack.encode(("meta", acceptor.configuration, acceptor.incarnation))
 
+def register_record(acceptor: Acceptor, key: str, promise_only: bool = False) -> bytes:
+    """The record of one register."""
+    state = acceptor.register_state(key)
+    if promise_only:
+        return encode_record(("promise", key, state.promised))
+    return encode_record(("slot", key, *state))
 
-def slot_record(acceptor: Acceptor, key: str, promise_only: bool = False) -> bytes:
-    """The record of one key.
 
-    >>> slot_record(Acceptor(Configuration(1, (), ("a",)), 1), "k")[:6]
-    b'\\x95\\xa4slot'
-    """
-    slot = acceptor.slot(key)
-    return msgspec.msgpack.encode(
-        ("promise", key, slot.promised) if promise_only else ("slot", key, *slot)
-    )
+def promised_floor_record(acceptor: Acceptor) -> bytes:
+    """The record of the promise that holds for every key."""
+    return encode_record(("floor", acceptor.promised_floor))
 
 
-def floor_record(acceptor: Acceptor) -> bytes:
-    """The record of the promise that holds for every key.
+def snapshot_records(acceptor: Acceptor) -> list[bytes]:
+    """All state; the meta record comes last, and only from an acceptor that has recovered."""
+    records = [promised_floor_record(acceptor)]
+    records += [register_record(acceptor, key) for key in acceptor.registers]
+    if acceptor.recovered:
+        records.append(meta_record(acceptor))
+    return records
 
-    >>> floor_record(Acceptor(Configuration(1, (), ("a",)), 1))[:7]
-    b'\\x92\\xa5floor'
-    """
-    return msgspec.msgpack.encode(("floor", acceptor.floor))
 
+def parse_quorum(item: Any) -> QuorumConfiguration:
+    """The voters of a record; records of the first release name three seeds and no version.
 
-def whole(acceptor: Acceptor) -> list[bytes]:
-    """Everything, for a snapshot or after learning; the meta record comes last, and only from who has learned.
-
-    >>> len(whole(Acceptor(Configuration(1, (), ("a",)), 1)))
-    2
-    """
-    return [
-        floor_record(acceptor),
-        *(slot_record(acceptor, key) for key in acceptor.slots),
-        *([meta_record(acceptor)] if acceptor.learned else []),
-    ]
-
-
-def read_configuration(found) -> Configuration:
-    """The voters of a record; records of the first version name three seeds and no generation.
-
-    >>> read_configuration(["a", "b"]) == read_configuration([1, [], ["a", "b"]])
+    >>> parse_quorum(["a", "b"]) == parse_quorum([1, [], ["a", "b"]])
     True
     """
-    if all(isinstance(voter, str) for voter in found):
-        return Configuration(1, (), tuple(found))
-    return msgspec.convert(found, Configuration)
+    if all(isinstance(voter, str) for voter in item):
+        return QuorumConfiguration(INITIAL_VERSION, (), tuple(item))
+    return msgspec.convert(item, QuorumConfiguration)
 
 
-def open_acceptor(payloads: list[bytes], others: list | None = None):
-    """The acceptor as the ledger left it, unlearned where there is no meta record; Err for foreign records.
+def restore_acceptor(
+    payloads: list[bytes], extension_records: list[Record] | None = None
+) -> Acceptor:
+    """The acceptor as its records left it; not recovered where there is no meta record.
 
-    Records of the spool and the roster go to `others`.
+    Args:
+        payloads: the records, oldest first.
+        extension_records: takes the records that are not the acceptor's.
 
-    >>> open_acceptor([]).ok().learned, open_acceptor([b"nonsense"]).err().name
-    (False, 'ledger_foreign')
+    Raises:
+        ForeignLogError: a record is not one of ours.
     """
-    acceptor = Acceptor(Configuration(0, (), ()), 0, learned=False)
+    acceptor = Acceptor(QuorumConfiguration(0, (), ()), 0, recovered=False)
     for payload in payloads:
         try:
-            found = msgspec.msgpack.decode(payload)
-            if found[0] in OTHER_KINDS and len(found) == OTHER_KINDS[found[0]]:
-                others is None or others.append(tuple(found))
-            else:
-                take_record(acceptor, *found)
+            record = msgspec.msgpack.decode(payload)
+            if EXTENSION_KINDS.get(record[0]) != len(record):
+                _apply_record(acceptor, *record)
+            elif extension_records is not None:
+                extension_records.append(tuple(record))
         except (msgspec.MsgspecError, TypeError, ValueError, LookupError) as error:
-            return Err(
-                mishap("ledger_foreign", f"the ledger holds a record that is not ours: {error}")
-            )
-    return Ok(acceptor)
-
+            raise ForeignLogError(
+                f"the write-ahead log holds a record that is not ours: {error}"
+            ) from error
+    return acceptor
 
-def take_record(acceptor: Acceptor, kind: str, *rest) -> None:
-    """Takes one record of the ledger.
 
-    >>> take_record(Acceptor(Configuration(0, (), ()), 0), "nonsense")
-    Traceback (most recent call last):
-    ValueError: a record of the kind 'nonsense'
-    """
-    if kind == "meta":
-        acceptor.configuration, acceptor.incarnation, acceptor.learned = (
-            read_configuration(rest[0]),
-            rest[1],
-            True,
-        )
-    elif kind == "panel":  # its name on disk in the second version
-        acceptor.configuration = read_configuration(rest[0])
-    elif kind == "floor":
-        acceptor.floor = max(acceptor.floor, Ballot(*rest[0]))
-    elif kind == "promise":
-        acceptor.slots[rest[0]] = acceptor.slots.get(rest[0], Slot())._replace(
-            promised=Ballot(*rest[1])
-        )
-    elif kind == "slot":
-        key, promised, accepted, value = rest
-        acceptor.slots[key] = Slot(Ballot(*promised), Ballot(*accepted), value)
-    else:
+def _apply_record(acceptor: Acceptor, kind: str, *items: Any) -> None:
+    apply = _RECORD_KINDS.get(kind)
+    if apply is None:
         raise ValueError(f"a record of the kind '{kind}'")
+    apply(acceptor, *items)
 
 
-def after_start(
-    acceptor: Acceptor, settings, seeds: list[str], nonce: int, fresh: bool
-) -> list[bytes]:
-    """What an acceptor just opened becomes: a first start, or a voter that must learn. Gives records to write.
+def _apply_meta(acceptor: Acceptor, quorum: Any, incarnation: int) -> None:
+    acceptor.quorum = parse_quorum(quorum)
+    acceptor.incarnation = incarnation
+    acceptor.recovered = True
 
-    >>> from sumacloom.settings import Settings
-    >>> acceptor = Acceptor(Configuration(0, (), ()), 0, learned=False)
-    >>> len(after_start(acceptor, Settings("n", "r", "a", "z", bootstrap=True), ["a"], 7, True)), acceptor.configuration.new
-    (2, ('a',))
-    """
-    if acceptor.learned:
-        return []
-    acceptor.configuration, acceptor.slots, acceptor.floor = (
-        Configuration(0, (), tuple(seeds)),
-        {},
-        NO_BALLOT,
-    )
-    if settings.bootstrap and fresh:
-        acceptor.configuration = Configuration(1, (), tuple(seeds))
-        acceptor.incarnation, acceptor.learned = nonce, True
-        scribe.say("first start, the voters are %s", ", ".join(seeds))
-        return whole(acceptor)
-    scribe.warn(
-        "%s: learning from the voters before voting",
-        "the disk is empty" if fresh else "the disk holds less than a whole memory",
+
+def _apply_panel(acceptor: Acceptor, quorum: Any, *_rest: Any) -> None:
+    acceptor.quorum = parse_quorum(quorum)
+
+
+def _apply_floor(acceptor: Acceptor, number: Any, *_rest: Any) -> None:
+    acceptor.promised_floor = max(acceptor.promised_floor, ProposalNumber(*number))
+
+
+def _apply_promise(acceptor: Acceptor, key: str, promised: Any, *_rest: Any) -> None:
+    state = acceptor.registers.get(key, RegisterState())
+    acceptor.registers[key] = state._replace(promised=ProposalNumber(*promised))
+
+
+def _apply_slot(acceptor: Acceptor, key: str, promised: Any, accepted: Any, value: Any) -> None:
+    acceptor.registers[key] = RegisterState(
+        ProposalNumber(*promised), ProposalNumber(*accepted), value
     )
-    return []
+
+
+_RECORD_KINDS: dict[str, Callable[..., None]] = {
+    "meta": _apply_meta,
+    "panel": _apply_panel,  # voters alone, as the second release wrote them
+    "floor": _apply_floor,
+    "promise": _apply_promise,
+    "slot": _apply_slot,
+}
+
+
+def reset_state(acceptor: Acceptor, seeds: list[str]) -> None:
+    """Drops whatever an incomplete log gave: nobody may vote with half of its promises."""
+    acceptor.quorum = QuorumConfiguration(0, (), tuple(seeds))
+    acceptor.registers = {}
+    acceptor.promised_floor = NO_PROPOSAL
+
+
+def bootstrap(acceptor: Acceptor, seeds: list[str], incarnation: int) -> None:
+    """The very first start of the system: the seeds are the first voters."""
+    acceptor.quorum = QuorumConfiguration(INITIAL_VERSION, (), tuple(seeds))
+    acceptor.incarnation = incarnation
+    acceptor.recovered = True
--- a/sumacloom/controller/__init__.py
+++ b/sumacloom/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: registers, members, backends, duties, admin API."""
+"""The control plane: keeps the operator's configuration, knows the backends, replaces primaries."""
--- a/sumacloom/controller/admin/access_calls.py
+++ b/sumacloom/controller/admin/access_calls.py
@@ -1,98 +1,95 @@
 """The access list's calls of the admin API: set, show, check one caller, counts per node."""
 
 import urllib.parse
-
-from sumacloom.configuration.access_list import Access
-from sumacloom.configuration.model import pack_blueprint
-from sumacloom.controller.admin.routes import read_base, serves
-from sumacloom.controller.admin.tables import gather
-from sumacloom.controller.policy import access, staged_rollout
-from sumacloom.controller.registers.values import decode
-from sumacloom.errors import mishap
-from sumacloom.http import Reply, Request, json_reply, mishap_reply
-
-
-def current(office) -> Access | None:
-    """The list in force as this registrar knows it, compiled."""
-    news = office.board.access
-    return Access(access.body_of(news.body), news.generation) if news.generation else None
-
-
-@serves("PUT", r"/api/admin/access")
-async def put_access(shell, request: Request) -> Reply:
-    """Offers a list built on the generation in If-Match; it comes into force once no older lease can stand."""
-    from sumacloom.configuration.access_checks import (
-        check_access,  # pydantic is slow to import: only where lists arrive
-    )
-
-    checked = check_access(request.body, {*shell.settings.zones.values()})
-    if checked.is_err():
-        return mishap_reply(checked.err())
-    base = read_base(request)
+from typing import TYPE_CHECKING
+
+from sumacloom.configuration.access_list import ANY, AccessList
+from sumacloom.configuration.model import compress, decompress
+from sumacloom.consensus.codec import decode
+from sumacloom.controller.admin.routing import parse_if_match, route, split_path
+from sumacloom.controller.policy import staged_rollout
+from sumacloom.controller.policy.access import AccessValue
+from sumacloom.controller.registers import ACCESS_KEY
+from sumacloom.errors import BadRequestError, MatchMissingError, NoAccessListError
+from sumacloom.http import Reply, Request, json_reply
+
+if TYPE_CHECKING:
+    from sumacloom.configuration.access_checks import AccessListModel
+    from sumacloom.controller.core import ControllerCore
+    from sumacloom.controller.process import ControllerProcess
+
+OFFERED_QUERY = "offered"
+
+
+def current_list(core: "ControllerCore") -> AccessList:
+    """The list in force as this controller knows it.
+
+    Raises:
+        NoAccessListError: there is none.
+    """
+    update = core.cache.access
+    if not update.version:
+        raise NoAccessListError
+    return AccessList(decompress(update.body), update.version)
+
+
+@route("PUT", "/api/admin/access")
+async def put_access(process: "ControllerProcess", request: Request) -> Reply:
+    """Offers a list built on the version in If-Match; it comes into force once no older lease can stand."""
+    # pydantic is slow to import: only where lists arrive
+    from sumacloom.configuration.access_checks import parse_access_list
+
+    model = parse_access_list(request.body, {*process.settings.zones.values()})
+    base = parse_if_match(request)
     if base is None:
-        return mishap_reply(
-            mishap(
-                "match_missing", "If-Match must carry the generation built on, 0 for the first list"
-            )
-        )
-    change = staged_rollout.offer(access.AccessValue, pack_blueprint(request.body), b"", base)
-    result = await shell.decide(access.KEY, change)
-    if result.is_err():
-        return mishap_reply(result.err())
-    value = decode(access.AccessValue, result.ok()[1])
+        raise MatchMissingError("If-Match must carry the version built on, 0 for the first list")
+    change = staged_rollout.offer(AccessValue, compress(request.body), b"", base)
+    value = decode(AccessValue, await process.commit(ACCESS_KEY, change))
+    assert value is not None  # an offer always leaves a value
     return json_reply(
         200,
         {
-            "generation": value.generation,
+            "generation": value.version,
             "in_force": value.in_force,
-            "not_routed": not_routed(shell.office, checked.ok()),
+            "not_routed": _not_routed(process.core, model),
         },
     )
 
 
-def not_routed(office, model) -> list[str]:
+def _not_routed(core: "ControllerCore", model: "AccessListModel") -> list[str]:
     """The databases that rules name and no route does."""
-    blueprint = office.board.blueprint
-    routed = {route.host for route in blueprint.routes} if blueprint else set()
-    return sorted(
-        {database for rule in model.rules for database in rule.databases if database != "*"}
-        - routed
-    )
+    named = {database for rule in model.rules for database in rule.databases}
+    return sorted(named - {ANY} - core.cache.databases())
 
 
-@serves("GET", r"/api/admin/access")
-async def get_access(shell, request: Request) -> Reply:
+@route("GET", "/api/admin/access")
+async def get_access(process: "ControllerProcess", request: Request) -> Reply:
     """The list in force, whole; with `?offered` the one that is offered."""
-    news = shell.office.board.access
-    offered = request.path.partition("?")[2] == "offered"
-    body = news.offered if offered else news.body
+    update = process.core.cache.access
+    _path, query = split_path(request)
+    offered = query == OFFERED_QUERY
+    body = update.offered if offered else update.body
     if not body:
-        return mishap_reply(
-            mishap("no_access", "no list is offered" if offered else "no access list is in force")
-        )
-    generation = news.order // 2 if offered else news.generation
-    return Reply(
-        200, access.body_of(body), (("ETag", f'"{generation}"'), ("X-Newest", str(news.order // 2)))
-    )
+        raise NoAccessListError("no list is offered" if offered else "no access list is in force")
+    newest = update.order // 2
+    version = newest if offered else update.version
+    return Reply(200, decompress(body), (("ETag", f'"{version}"'), ("X-Newest", str(newest))))
 
 
-@serves("GET", r"/api/admin/access/check")
-async def get_check(shell, request: Request) -> Reply:
+@route("GET", "/api/admin/access/check")
+async def get_check(process: "ControllerProcess", request: Request) -> Reply:
     """What the list in force says of one address and database; nothing is sent or counted."""
-    query = dict(urllib.parse.parse_qsl(request.path.partition("?")[2]))
-    database, address = query.get("database", ""), query.get("address", "")
-    found = current(shell.office)
-    if found is None:
-        return mishap_reply(mishap("no_access"))
+    _path, query = split_path(request)
+    fields = dict(urllib.parse.parse_qsl(query))
+    database, address = fields.get("database", ""), fields.get("address", "")
+    access_list = current_list(process.core)
     try:
-        found.read_address(address)
-    except ValueError:
-        return mishap_reply(mishap("bad_request", f"'{address}' is not an IP address"))
+        access_list.parse_address(address)
+    except ValueError as error:
+        raise BadRequestError(f"'{address}' is not an IP address") from error
     if not database:
-        return mishap_reply(mishap("bad_request", "name a database and an address"))
-    verdict = found.verdict(database, address)
-    blueprint = shell.office.board.blueprint
-    routed = bool(blueprint) and any(route.host == database for route in blueprint.routes)
+        raise BadRequestError("name a database and an address")
+    verdict = access_list.verdict(database, address)
     return json_reply(
         200,
         {
@@ -101,23 +98,28 @@
             "region": verdict.region,
             "rule": verdict.rule,
             "allowed": verdict.allowed,
-            "generation": found.generation,
-            "routed": routed,
+            "generation": access_list.version,
+            "routed": database in process.core.cache.databases(),
         },
     )
 
 
-@serves("GET", r"/api/admin/access/state")
-async def get_state(shell, request: Request) -> Reply:
-    """Which generation is in force, and which is the newest: what the next change builds on."""
-    news = shell.office.board.access
+@route("GET", "/api/admin/access/state")
+async def get_state(process: "ControllerProcess", request: Request) -> Reply:
+    """Which version is in force, and which is the newest: what the next change builds on."""
+    update = process.core.cache.access
     return json_reply(
         200,
-        {"generation": news.generation, "newest": news.order // 2, "offered": bool(news.offered)},
+        {
+            "generation": update.version,
+            "newest": update.order // 2,
+            "offered": bool(update.offered),
+        },
     )
 
 
-@serves("GET", r"/api/admin/access/counts")
-async def get_counts(shell, request: Request) -> Reply:
-    """What each counter allowed and denied, per generation and rule."""
-    return json_reply(200, (await gather(shell))["access"])
+@route("GET", "/api/admin/access/counts")
+async def get_counts(process: "ControllerProcess", request: Request) -> Reply:
+    """What each pooler allowed and denied, per version and rule."""
+    tables = await process.tables.gather()
+    return json_reply(200, tables["access"])
--- a/sumacloom/controller/admin/subscriber_calls.py
+++ b/sumacloom/controller/admin/subscriber_calls.py
@@ -1,257 +1,267 @@
-"""The listeners' calls of the admin API: register, end, list, take items, and who holds which list."""
+"""The subscribers' calls of the admin API: subscribe, end, take items, and who holds which list."""
 
 import json
 import urllib.parse
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import curio
 
-from sumacloom.controller.admin.routes import decide_at_once, serves
-from sumacloom.controller.delivery import subscribers
-from sumacloom.controller.delivery.feed import acknowledge
-from sumacloom.controller.registers.values import decode
-from sumacloom.errors import Err, Ok, Result, mishap
-from sumacloom.http import Reply, Request, json_reply, mishap_reply
-from sumacloom.transport.update_cache import list_digest
+from sumacloom.consensus.codec import Change, decode
+from sumacloom.controller.admin.orders import commit_order
+from sumacloom.controller.admin.routing import route, split_path
+from sumacloom.controller.delivery.feed import FeedItem, acknowledge, lapsed_error
+from sumacloom.controller.delivery.subscribers import (
+    JOINING,
+    LAPSED,
+    Subscriber,
+    SubscribersValue,
+    subscribe,
+    unsubscribe,
+)
+from sumacloom.controller.registers import FEED_PREFIX, SUBSCRIBERS_KEY
+from sumacloom.errors import (
+    BadRequestError,
+    NoQuorumError,
+    SubscriberNotFoundError,
+    UnknownDatabaseError,
+)
+from sumacloom.http import Reply, Request, json_reply
+from sumacloom.transport.messages import CONTROLLER_ROLE, POOLER_ROLE
+from sumacloom.transport.update_cache import subscribers_checksum
 
-LATER = (("Retry-After", "2"),)
-STEP_S = 0.05
-MOST_WAIT_S, MOST_TAKEN = 20.0, 200
-MOST_NAME = 64
+if TYPE_CHECKING:
+    from sumacloom.controller.core import ControllerCore
+    from sumacloom.controller.process import ControllerProcess
 
+RETRY_AFTER_S = "2"
+POLL_S = 0.05
+MAX_WAIT_S, MAX_ITEMS = 20.0, 200
+MAX_NAME_LENGTH = 64
+RESERVED_CHARACTERS = frozenset(" /?#%")
+WHY_ASKED = "asked"
 
-def word(value) -> bool:
-    """Whether a value is a name: one word, not too long.
 
-    >>> word("desk-1"), word("a b"), word(7)
+class SubscribeCall(NamedTuple):
+    """The body of a call to subscribe."""
+
+    name: str
+    database: str
+    token: str
+
+
+class TakeCall(NamedTuple):
+    """The query of a call that takes items."""
+
+    offset: int
+    wait_s: float
+    limit: int
+
+
+def is_name(value: Any) -> bool:
+    """Whether a value may name a subscriber: one word, not too long.
+
+    >>> is_name("desk-1"), is_name("a b"), is_name(7)
     (True, False, False)
     """
     return (
         isinstance(value, str)
-        and 0 < len(value) <= MOST_NAME
+        and 0 < len(value) <= MAX_NAME_LENGTH
         and value.isprintable()
-        and not set(value) & set(" /?#%")
+        and not set(value) & RESERVED_CHARACTERS
     )
 
 
-def refuse(found) -> Reply:
-    """A mishap as a reply; what can't be decided now says when to come back.
-
-    >>> refuse(mishap("no_majority")).headers
-    (('Retry-After', '2'),)
-    """
-    reply = mishap_reply(found)
-    return reply._replace(headers=LATER) if found.status == 503 else reply
+async def _commit(
+    process: "ControllerProcess", key: str, change: Change, request: Request | None = None
+) -> bytes | None:
+    """Commits a change, refused at once without a quorum; with a request, only while its caller waits."""
+    if not process.core.has_quorum_contact(process.now()):
+        raise NoQuorumError("no majority of the controllers is heard from here; come back in 2 s")
+    if request is not None:
+        return await commit_order(process, request, key, change)
+    return await process.commit(key, change)
 
 
-async def order(shell, key: str, change, request: Request | None = None) -> Result:
-    """A change, refused at once where no majority is heard; with a request, only while its caller waits."""
-    if not shell.office.heard_majority(shell.now()):
-        return Err(
-            mishap(
-                "no_majority", "no majority of the registrars is heard from here; come back in 2 s"
-            )
-        )
-    return await (
-        decide_at_once(shell, request, key, change) if request else shell.decide(key, change)
-    )
+def parse_subscribe_call(body: bytes, databases: set[str]) -> SubscribeCall:
+    """Reads the body of a call to subscribe.
 
-
-def read_body(request: Request, known: set) -> Result:
-    """Name, database and token of a call.
-
-    >>> read_body(Request("POST", "/", {}, b"{}"), set()).err().name
-    'bad_request'
+    Raises:
+        BadRequestError: a field is missing or wrong.
+        UnknownDatabaseError: the configuration has no such database.
     """
     try:
-        body = json.loads(request.body)
-        name, database, token = body["name"], body["database"], body.get("token", "")
+        fields = json.loads(body)
+        call = SubscribeCall(fields["name"], fields["database"], fields.get("token", ""))
     except (ValueError, KeyError, TypeError, AttributeError):
-        return Err(
-            mishap("bad_request", 'the body must be {"name": ..., "database": ..., "token": ...}')
-        )
-    if (
-        not word(name)
-        or not isinstance(database, str)
-        or not isinstance(token, str)
-        or len(token) > MOST_NAME
-    ):
-        return Err(
-            mishap("bad_request", f"name and token are words of {MOST_NAME} letters at most")
-        )
-    if database not in known:
-        return Err(mishap("unknown_database", f"the blueprint has no database '{database}'"))
-    return Ok((name, database, token))
-
-
-@serves("POST", r"/api/admin/listeners")
-async def post_listener(shell, request: Request) -> Reply:
-    """Somebody wants to listen; the same call again is the same listener."""
-    blueprint = shell.office.board.blueprint
-    read = read_body(request, {route.host for route in blueprint.routes} if blueprint else set())
-    if read.is_err():
-        return refuse(read.err())
-    name, database, token = read.ok()
-    result = await order(
-        shell, subscribers.KEY, subscribers.subscribe(name, database, token), request
-    )
-    if result.is_err():
-        return refuse(result.err())
-    value = decode(subscribers.Listeners, result.ok()[1])
-    row = value.find(name, database)
+        raise BadRequestError(
+            'the body must be {"name": ..., "database": ..., "token": ...}'
+        ) from None
+    valid_token = isinstance(call.token, str) and len(call.token) <= MAX_NAME_LENGTH
+    if not is_name(call.name) or not isinstance(call.database, str) or not valid_token:
+        raise BadRequestError(f"name and token are words of {MAX_NAME_LENGTH} letters at most")
+    if call.database not in databases:
+        raise UnknownDatabaseError(f"the configuration has no database '{call.database}'")
+    return call
+
+
+@route("POST", "/api/admin/listeners", RETRY_AFTER_S)
+async def post_subscriber(process: "ControllerProcess", request: Request) -> Reply:
+    """Somebody wants to subscribe; the same call again is the same subscriber."""
+    name, database, token = parse_subscribe_call(request.body, process.core.cache.databases())
+    change = subscribe(name, database, token)
+    value = decode(SubscribersValue, await _commit(process, SUBSCRIBERS_KEY, change, request))
+    found = value.find(name, database) if value else None
     return json_reply(
         200,
         {
             "name": name,
             "database": database,
-            "generation": value.generation,
-            "state": row.state if row else "ended",
+            "generation": value.version if value else 0,
+            "state": found.state if found else "ended",
         },
     )
 
 
-@serves("DELETE", r"/api/admin/listeners/([^/]+)/([^/]+)")
-async def delete_listener(shell, request: Request, database: str, name: str) -> Reply:
-    """Ends a listener by a recorded order."""
-    result = await order(
-        shell, subscribers.KEY, subscribers.unsubscribe(name, database, "asked"), request
-    )
-    if result.is_err():
-        return refuse(result.err())
+@route("DELETE", "/api/admin/listeners/([^/]+)/([^/]+)", RETRY_AFTER_S)
+async def delete_subscriber(
+    process: "ControllerProcess", request: Request, database: str, name: str
+) -> Reply:
+    """Ends a subscriber by a recorded order."""
+    await _commit(process, SUBSCRIBERS_KEY, unsubscribe(name, database, WHY_ASKED), request)
     return json_reply(200, {"name": name, "database": database, "state": "ended"})
 
 
-def read_query(path: str) -> Result:
-    """The numbers of a taking: cursor, wait, most.
+def parse_take_call(query: str) -> TakeCall:
+    """Reads the query of a call that takes items.
 
-    >>> read_query("/x?cursor=4&wait=1").ok()
-    (4, 1.0, 200)
-    >>> read_query("/x?cursor=four").err().name
-    'bad_request'
+    >>> parse_take_call("cursor=4&wait=1")
+    TakeCall(offset=4, wait_s=1.0, limit=200)
+
+    Raises:
+        BadRequestError: a number is missing or out of range.
     """
-    found = dict(urllib.parse.parse_qsl(path.partition("?")[2]))
+    fields = dict(urllib.parse.parse_qsl(query))
     try:
-        cursor, wait, most = (
-            int(found.get("cursor", 0)),
-            float(found.get("wait", 0)),
-            int(found.get("most", MOST_TAKEN)),
-        )
+        offset = int(fields.get("cursor", 0))
+        wait_s = float(fields.get("wait", 0))
+        limit = int(fields.get("most", MAX_ITEMS))
     except ValueError:
-        return Err(mishap("bad_request", "cursor, wait and most must be numbers"))
-    if cursor < 0 or not wait >= 0 or most < 1:
-        return Err(mishap("bad_request", "cursor, wait and most must not be below 0, 0 and 1"))
-    return Ok((cursor, min(wait, MOST_WAIT_S), min(most, MOST_TAKEN)))
-
-
-def standing(office, name: str, database: str) -> Result:
-    """Whether a listener may take: Ok(its row), or why not."""
-    row = subscribers.held(office).find(name, database)
-    if row is None:
-        return Err(mishap("no_listener", f"nobody called '{name}' listens to '{database}'"))
-    feed = subscribers.feed_of(office, database)
-    missed = feed.lapsed.get(name, row.missed if row.state == "lapsed" else None)
-    if missed is not None:
-        return Err(
-            mishap("lapsed", f"the listener was too slow and missed {missed} items; listen anew")
-        )
-    return Ok(row)
-
-
-@serves("GET", r"/api/admin/items/([^/]+)/([^/]+)")
-async def get_items(shell, request: Request, database: str, name: str) -> Reply:
-    """A long poll: the cursor acknowledges all below it, and what follows comes, each item once."""
-    office, query = shell.office, read_query(request.path)
-    row = standing(office, name, database)
-    if query.is_err() or row.is_err():
-        return refuse(query.err() if query.is_err() else row.err())
-    cursor, wait, most = query.ok()
-    key, cutoff = subscribers.FEEDS + database, shell.now() + wait
+        raise BadRequestError("cursor, wait and most must be numbers") from None
+    if offset < 0 or not wait_s >= 0 or limit < 1:
+        raise BadRequestError("cursor, wait and most must not be below 0, 0 and 1")
+    return TakeCall(offset, min(wait_s, MAX_WAIT_S), min(limit, MAX_ITEMS))
+
+
+def require_subscriber(core: "ControllerCore", name: str, database: str) -> Subscriber:
+    """The subscriber, if it may take items.
+
+    Raises:
+        SubscriberNotFoundError: there is none.
+        SubscriberLapsedError: it was too slow.
+    """
+    subscriber = core.subscriptions.value().find(name, database)
+    if subscriber is None:
+        raise SubscriberNotFoundError(f"nobody called '{name}' listens to '{database}'")
+    feed = core.subscriptions.feed(database)
+    if name in feed.lapsed:
+        raise lapsed_error(feed.lapsed[name])
+    if subscriber.state == LAPSED:
+        raise lapsed_error(subscriber.missed)
+    return subscriber
+
+
+@route("GET", "/api/admin/items/([^/]+)/([^/]+)", RETRY_AFTER_S)
+async def get_items(
+    process: "ControllerProcess", request: Request, database: str, name: str
+) -> Reply:
+    """A long poll: the offset acknowledges all below it, and what follows comes, each item once."""
+    core = process.core
+    call = parse_take_call(split_path(request)[1])
+    require_subscriber(core, name, database)
+    deadline = process.now() + call.wait_s
     while True:
-        row, feed = standing(office, name, database), subscribers.feed_of(office, database)
-        if row.is_err():
-            return refuse(row.err())
-        acknowledged = feed.cursors.get(name)
-        if acknowledged is not None and cursor and cursor != acknowledged:
-            result = await order(shell, key, acknowledge(name, cursor))
-            if result.is_err():
-                return refuse(result.err())
-            feed = subscribers.feed_of(office, database)
-        start = cursor or acknowledged or 0
-        items = (
-            [item for item in feed.items if item.number >= start][:most]
-            if acknowledged is not None
-            else []
-        )
-        if items or shell.now() >= cutoff:
-            return json_reply(
-                200,
-                {
-                    "state": row.ok().state,
-                    "cursor": items[-1].number + 1 if items else start,
-                    "items": [
-                        {"number": item.number, "text": item.text, "doubtful": item.doubtful}
-                        for item in items
-                    ],
-                },
-            )
-        await curio.sleep(STEP_S)
-
-
-def list_rows(office, now: float) -> list[dict]:
-    """The listeners, how far each is, and whom a joining one waits for."""
+        subscriber = require_subscriber(core, name, database)
+        acknowledged = core.subscriptions.feed(database).offsets.get(name)
+        if acknowledged is not None and call.offset and call.offset != acknowledged:
+            await _commit(process, FEED_PREFIX + database, acknowledge(name, call.offset))
+        start = call.offset or acknowledged or 0
+        items: list[FeedItem] = []
+        if acknowledged is not None:
+            feed = core.subscriptions.feed(database)
+            items = [item for item in feed.items if item.number >= start][: call.limit]
+        if items or process.now() >= deadline:
+            return json_reply(200, _items_body(subscriber, items, start))
+        await curio.sleep(POLL_S)
+
+
+def _items_body(subscriber: Subscriber, items: list[FeedItem], start: int) -> dict[str, Any]:
+    return {
+        "state": subscriber.state,
+        "cursor": items[-1].number + 1 if items else start,
+        "items": [
+            {"number": item.number, "text": item.text, "doubtful": item.doubtful} for item in items
+        ],
+    }
+
+
+def subscriber_rows(core: "ControllerCore", now: float) -> list[dict[str, Any]]:
+    """The subscribers, how far each is, and whom a joining one waits for."""
     rows = []
-    for row in subscribers.held(office).rows:
-        feed = subscribers.feed_of(office, row.database)
-        cursor = feed.cursors.get(row.name)
-        waits = office.members.unaware(row.since, now) if row.state == "joining" else []
+    for subscriber in core.subscriptions.value().rows:
+        feed = core.subscriptions.feed(subscriber.database)
+        offset = feed.offsets.get(subscriber.name)
+        waits_for: list[str] = []
+        if subscriber.state == JOINING:
+            waits_for = core.members.without_subscribers(subscriber.since, now)
         rows.append(
             {
-                "name": row.name,
-                "database": row.database,
-                "state": row.state,
-                "cursor": cursor or 0,
-                "behind": feed.next - cursor if cursor else 0,
-                "missed": feed.lapsed.get(row.name, row.missed),
-                "waits_for": ",".join(waits),
+                "name": subscriber.name,
+                "database": subscriber.database,
+                "state": subscriber.state,
+                "cursor": offset or 0,
+                "behind": feed.next - offset if offset else 0,
+                "missed": feed.lapsed.get(subscriber.name, subscriber.missed),
+                "waits_for": ",".join(waits_for),
             }
         )
     return rows
 
 
-def node_rows(office, node: str, reports: list[dict]) -> list[dict]:
-    """Which list this registrar and its counters hold; who does not answer, or is lost without a word, holds none."""
-    held, told = office.board.listeners, [report["counter"] for report in reports]
-    silent = {*office.members.sessions, *office.members.lost(office.now)} - {
-        row["node"] for row in told
+def holder_rows(
+    core: "ControllerCore", node: str, poolers: list[dict[str, Any]]
+) -> list[dict[str, Any]]:
+    """Which list this controller and its poolers hold; who does not answer, or is lost, holds none."""
+    held = core.cache.subscribers
+    known = {*core.members.sessions, *core.members.lost(core.now)}
+    silent = sorted(known - {row["node"] for row in poolers})
+    own = {
+        "node": node,
+        "role": CONTROLLER_ROLE,
+        "generation": held.version,
+        "digest": subscribers_checksum(held),
+        "spooled": len(core.delivery.entries),
+        "why": "",
     }
-    return [
+    answered = [
         {
-            "node": node,
-            "role": "registrar",
-            "generation": held.generation,
-            "digest": list_digest(held),
-            "spooled": len(office.spool.entries),
+            "node": row["node"],
+            "role": POOLER_ROLE,
+            "generation": row["listeners"],
+            "digest": row["listeners_digest"],
+            "spooled": row["unnoted"],
             "why": "",
-        },
-        *(
-            {
-                "node": row["node"],
-                "role": "counter",
-                "generation": row["listeners"],
-                "digest": row["listeners_digest"],
-                "spooled": row["unnoted"],
-                "why": "",
-            }
-            for row in told
-        ),
-        *(
-            {
-                "node": name,
-                "role": "counter",
-                "generation": 0,
-                "digest": "",
-                "spooled": 0,
-                "why": "does not answer",
-            }
-            for name in sorted(silent)
-        ),
+        }
+        for row in poolers
+    ]
+    unanswered = [
+        {
+            "node": name,
+            "role": POOLER_ROLE,
+            "generation": 0,
+            "digest": "",
+            "spooled": 0,
+            "why": "does not answer",
+        }
+        for name in silent
     ]
+    return [own, *answered, *unanswered]
