--- a/sumacloom/controller/admin/tables.py
+++ b/sumacloom/controller/admin/tables.py
@@ -1,28 +1,29 @@
-"""The admin API: the fleet's state as tables, gathered from all registrars and their counters.
+"""The fleet's state as tables, gathered from all controllers and their poolers.
 
-Nothing here touches the path of statements: counters answer with what they hold.
+Nothing here touches the way of statements: poolers answer with what they hold. Names of tables and columns
+are part of the admin API and never change, even where the code uses another word.
 """
 
-import json
+import logging
+from typing import TYPE_CHECKING, Any
 
 import curio
 
-from sumacloom.consensus import reconfiguration
-from sumacloom.controller.admin import subscriber_calls, undo_calls
-from sumacloom.controller.admin.routes import decide_at_once, serves
-from sumacloom.controller.failover import lease
-from sumacloom.controller.policy import pool_modes, priority
-from sumacloom.controller.registers.values import decode
-from sumacloom.errors import mishap
-from sumacloom.http import Reply, Request, json_reply, mishap_reply
-from sumacloom.logs import LEVELS, Scribe, set_level
-from sumacloom.transport.messages import Inquire, Level, Part
-from sumacloom.types import NO_BALLOT
+from sumacloom.consensus.proposal_number import ProposalNumber
+from sumacloom.controller.admin import pool_mode_calls, subscriber_calls, undo_calls
+from sumacloom.controller.admin.priority_calls import priority_rows
+from sumacloom.controller.registers import FAILOVER_LEASE_KEY
+from sumacloom.logs import set_level
+from sumacloom.transport.messages import TablesReply, TablesRequest
 
-scribe = Scribe("admin")
-GATHER_S = 0.6
-COUNTERS_S = 0.25
-STEP_S = 0.02
+if TYPE_CHECKING:
+    from sumacloom.controller.process import ControllerProcess
+
+logger = logging.getLogger(__name__)
+
+GATHER_S = 0.6  # how long the other controllers are waited for
+POOLERS_S = 0.25  # how long our own poolers are waited for
+POLL_S = 0.02
 TABLES = (
     "registrars",
     "registers",
@@ -41,164 +42,193 @@
     "poolers",
     "sharing",
 )
+ONE_ROW_PER_NODE = ("generations", "listening", "poolers")
 
+Tables = dict[str, list[dict[str, Any]]]
 
-async def own_part(shell) -> dict:
-    """This registrar's rows, with fresh ones of the counters in session here."""
-    asked_at = shell.now()
-    links = list(shell.counters.values())
-    for link in links:
-        shell.beat_counter(link, asked_at, want_report=True)
-    while shell.now() - asked_at < COUNTERS_S and any(
-        link.reported_at < asked_at for link in links
-    ):
-        await curio.sleep(STEP_S)
-    office, now = shell.office, shell.now()
-    settings, node = shell.settings, shell.settings.node
-    reports = [link.report for link in links if link.report and link.reported_at >= asked_at]
-    digest = office.board.digest()
-    return {
-        "registrars": [
-            {
-                "node": node,
-                "zone": settings.zone,
-                "ip": settings.ip,
-                "votes": office.votes,
-                "learned": office.acceptor.learned,
-                "blueprint": digest.blueprint,
-                "evacuations": digest.evacuations,
-                "hears": ",".join(peer for peer in office.others() if office.alive(peer, now)),
-                "plans": ",".join(f"{name}:{plan}" for name, plan in sorted(shell.plans.items())),
-                **reconfiguration.rows(office, node, now),
-                "view": "majority" if office.settled(now) else "own",
-                "alone_ms": round(1000 * shell.unsettled_s()),
-                "lacks": ",".join(office.lacking(now)),
-                "disk": "refuses" if shell.disk_ill else "well",
-            }
-        ],
-        "registers": [
-            {
-                "node": node,
-                "key": key,
-                "decided": str(tuple(office.decided.get(key, (NO_BALLOT,))[0][:2])),
-                "accepted": str(tuple(office.acceptor.slots[key].accepted[:2]))
-                if key in office.acceptor.slots
-                else "-",
-            }
-            for key in office.keys()  # noqa: SIM118 - a method of the core, not a mapping
-        ],
-        "members": [
-            {
-                "node": name,
-                "zone": zone,
-                "address": address,
-                "registrar": node,
-                "heard_ms": round((now - heard) * 1000),
-            }
-            for name, (zone, address, heard, *_held) in sorted(office.members.sessions.items())
-        ],
-        "counters": [report["counter"] for report in reports],
-        "listening": subscriber_calls.node_rows(office, node, reports),
-        "generations": undo_calls.own_rows(
-            office, node, reports, list(office.members.sessions), now
-        ),
-        "poolers": pool_modes.node_rows(office, node, reports),
-        "sharing": [row for report in reports for row in report.get("sharing", [])],
-        "access": [row for report in reports for row in report.get("access", [])],
-        "rotation": [row for report in reports for row in report["rotation"]],
-    }
 
+def _number_text(number: ProposalNumber) -> str:
+    return str(tuple(number[:2]))
 
-def shared_part(shell) -> dict:
-    """Rows that every registrar holds alike, as this one holds them."""
-    office, now = shell.office, shell.now()
-    roster, duty = office.roster, office.duty
-    voters = len(office.acceptor.configuration.new)
 
-    def position(name):
-        sight = roster.sighted.get(name)
-        return f"{sight[1].term}.{sight[1].number}" if sight else "-"
+class TableService:
+    """Makes the tables of one controller, and gathers those of all."""
 
-    return {
-        "backends": [
+    def __init__(self, process: "ControllerProcess"):
+        self._process = process
+        self._requests = 0
+        self._replies: dict[int, dict[str, Tables]] = {}  # request: peer address: its tables
+
+    # ------------------------------------------------------------ own rows
+    async def own_tables(self) -> Tables:
+        """This controller's rows, with fresh ones of the poolers in session here."""
+        core, node = self._process.core, self._process.settings.node
+        reports = await self._pooler_reports()
+        now = self._process.now()
+        poolers = [report["counter"] for report in reports]
+        return {
+            "registrars": [self._controller_row()],
+            "registers": self._register_rows(),
+            "members": self._member_rows(),
+            "counters": poolers,
+            "listening": subscriber_calls.holder_rows(core, node, poolers),
+            "generations": undo_calls.version_rows(core, node, poolers, now),
+            "poolers": pool_mode_calls.holder_rows(core, node, poolers),
+            "sharing": [row for report in reports for row in report.get("sharing", [])],
+            "access": [row for report in reports for row in report.get("access", [])],
+            "rotation": [row for report in reports for row in report["rotation"]],
+        }
+
+    async def _pooler_reports(self) -> list[dict[str, Any]]:
+        process, asked_at = self._process, self._process.now()
+        links = list(process.poolers.values())
+        for link in links:
+            process.send_heartbeat(link, asked_at, want_report=True)
+        while process.now() - asked_at < POOLERS_S:
+            if all(link.reported_at >= asked_at for link in links):
+                break
+            await curio.sleep(POLL_S)
+        return [link.report for link in links if link.report and link.reported_at >= asked_at]
+
+    def _controller_row(self) -> dict[str, Any]:
+        process, core = self._process, self._process.core
+        settings, now, digest = process.settings, process.now(), core.cache.digest()
+        standing = core.reconfiguration.standing()
+        alive = [peer for peer in core.peer_addresses() if core.is_alive(peer, now)]
+        plans = sorted(process.supervisor.plans.items())
+        return {
+            "node": settings.node,
+            "zone": settings.zone,
+            "ip": settings.ip,
+            "votes": core.is_voter,
+            "learned": core.acceptor.recovered,
+            "blueprint": digest.configuration,
+            "evacuations": digest.zone_drains,
+            "hears": ",".join(alive),
+            "plans": ",".join(f"{service}:{plan}" for service, plan in plans),
+            "voters_generation": standing.version,
+            "voters": ",".join(standing.voters),
+            "leaving_voters": ",".join(standing.leaving),
+            "standing": standing.standing,
+            "view": "majority" if core.in_quorum(now) else "own",
+            "alone_ms": round(1000 * process.out_of_quorum_s()),
+            "lacks": ",".join(core.missing_keys(now)),
+            "disk": "refuses" if process.disk_writer.failing else "well",
+        }
+
+    def _register_rows(self) -> list[dict[str, Any]]:
+        core, registers = self._process.core, self._process.core.acceptor.registers
+        return [
             {
-                "backend": record.name,
-                "service": record.service,
-                "zone": record.zone,
-                "address": record.address,
-                "phase": record.phase,
-                "role": record.role,
-                "slots": record.slots,
-                "position": position(record.name),
-                "heard_ms": round((now - roster.heard_at[record.name]) * 1000)
-                if record.name in roster.heard_at
-                else -1,
-                "dark": roster.dark_since(record.name, voters, now) is not None,
+                "node": self._process.settings.node,
+                "key": key,
+                "decided": _number_text(core.committed_number(key)),
+                "accepted": _number_text(registers[key].accepted) if key in registers else "-",
             }
-            for record in sorted(
-                office.board.records.values(), key=lambda record: (record.service, record.name)
-            )
-            if record.phase != "gone"
-        ],
-        "duties": [
+            for key in core.keys()  # noqa: SIM118 - a method of the core, not a mapping
+        ]
+
+    def _member_rows(self) -> list[dict[str, Any]]:
+        now = self._process.now()
+        return [
             {
-                "duty": lease.DUTY,
-                "holder": duty.holder if duty else "",
-                "fence": duty.fence if duty else 0,
-                "vacant": lease.vacant(office, now),
+                "node": name,
+                "zone": session.zone,
+                "address": session.address,
+                "registrar": self._process.settings.node,
+                "heard_ms": round((now - session.last_heartbeat_at) * 1000),
             }
-        ],
-        "lanes": lane_rows(office, now),
-        "pooling": pool_modes.own_rows(office),
-        "listeners": subscriber_calls.list_rows(office, now),
-        "zones": [
-            {"zone": zone, "region": region, "evacuated": zone in office.board.zones}
-            for zone, region in sorted(shell.settings.zones.items())
-        ],
-    }
-
+            for name, session in sorted(self._process.core.members.sessions.items())
+        ]
 
-def lane_rows(office, now: float) -> list[dict]:
-    """A row for each database that is or will be in the priority lane."""
-    held = office.board.lanes
-    waiting = (
-        ",".join(office.members.lacking(held.order, now))
-        if held.order % 2 == 0 and held.order
-        else ""
-    )
-    return [
-        {
-            "database": database,
-            "generation": held.order // 2,
-            "in_force": database in held.databases,
-            "offered": database in held.offered,
-            "waits_for": waiting,
+    # ------------------------------------------------------------ rows that all hold alike
+    def shared_tables(self) -> Tables:
+        """Rows that every controller holds alike, as this one holds them."""
+        core, now = self._process.core, self._process.now()
+        lease = core.failover_lease.value
+        return {
+            "backends": self._backend_rows(now),
+            "duties": [
+                {
+                    "duty": FAILOVER_LEASE_KEY,
+                    "holder": lease.holder if lease else "",
+                    "fence": lease.fencing_token if lease else 0,
+                    "vacant": core.failover_lease.is_vacant(now),
+                }
+            ],
+            "lanes": priority_rows(core, now),
+            "pooling": pool_mode_calls.pool_mode_rows(core),
+            "listeners": subscriber_calls.subscriber_rows(core, now),
+            "zones": [
+                {"zone": zone, "region": region, "evacuated": zone in core.cache.zones}
+                for zone, region in sorted(self._process.settings.zones.items())
+            ],
         }
-        for database in sorted({*held.databases, *held.offered})
-    ]
 
+    def _backend_rows(self, now: float) -> list[dict[str, Any]]:
+        core = self._process.core
+        records = sorted(
+            core.cache.records.values(), key=lambda record: (record.service, record.name)
+        )
+        voters = len(core.acceptor.quorum.new)
+        rows = []
+        for record in records:
+            if record.is_gone:
+                continue
+            heard_at = core.registry.last_heartbeat_at.get(record.name)
+            since = core.registry.unreachable_since(record.name, voters, now)
+            rows.append(
+                {
+                    "backend": record.name,
+                    "service": record.service,
+                    "zone": record.zone,
+                    "address": record.address,
+                    "phase": record.phase,
+                    "role": record.role,
+                    "slots": record.slots,
+                    "position": self._position_text(record.name),
+                    "heard_ms": -1 if heard_at is None else round((now - heard_at) * 1000),
+                    "dark": since is not None,
+                }
+            )
+        return rows
+
+    def _position_text(self, backend: str) -> str:
+        observed = self._process.core.registry.observed.get(backend)
+        if observed is None:
+            return "-"
+        return f"{observed.observation.term}.{observed.observation.number}"
 
-async def gather(shell) -> dict:
-    """The whole fleet's tables; registrars that don't answer in time are left out, and named as unheard."""
-    shell.inquiries += 1
-    number = shell.inquiries
-    parts = shell.parts[number] = {}
-    peers = [peer for peer in shell.office.others() if shell.office.alive(peer, shell.now())]
-    for peer in peers:
-        shell.office.outbox.append((peer, Inquire(number)))
-    await shell.act()
-    started = shell.now()
-    tables = await own_part(shell)
-    while shell.now() - started < GATHER_S and len(parts) < len(peers):
-        await curio.sleep(STEP_S)
-    del shell.parts[number]
-    for part in parts.values():
-        for name, rows in part.items():
-            tables[name] = tables[name] + rows
-    unheard = [peer for peer in shell.office.others() if peer not in parts]
-    now, heard = shell.now(), {peer: at for peer, (at, _beat) in shell.office.peers.items()}
-    tables["registrars"] += [
-        {
+    # ------------------------------------------------------------ the whole fleet
+    async def gather(self) -> Tables:
+        """All tables; controllers that don't answer in time are left out, and named as unheard."""
+        process, core = self._process, self._process.core
+        self._requests += 1
+        number = self._requests
+        replies = self._replies[number] = {}
+        now = process.now()
+        peers = [peer for peer in core.peer_addresses() if core.is_alive(peer, now)]
+        for peer in peers:
+            core.send(peer, TablesRequest(number))
+        await process.flush()
+        started_at = process.now()
+        tables = await self.own_tables()
+        while process.now() - started_at < GATHER_S and len(replies) < len(peers):
+            await curio.sleep(POLL_S)
+        del self._replies[number]
+        for reply in replies.values():
+            for name, rows in reply.items():
+                tables[name] = tables[name] + rows
+        unheard = [peer for peer in core.peer_addresses() if peer not in replies]
+        tables["registrars"] += [self._unheard_row(peer) for peer in unheard]
+        for name in ONE_ROW_PER_NODE:
+            tables[name] = undo_calls.one_per_node(tables[name], unheard)
+        return {**tables, **self.shared_tables()}
+
+    def _unheard_row(self, peer: str) -> dict[str, Any]:
+        state = self._process.core.peers.get(peer)
+        silence_s = self._process.now() - state.received_at if state else None
+        return {
             "node": "",
             "zone": "",
             "ip": peer,
@@ -209,110 +239,28 @@
             "hears": "unheard",
             "plans": "",
             "view": "unheard",
-            "alone_ms": round(1000 * (now - heard[peer])) if peer in heard else None,
+            "alone_ms": None if silence_s is None else round(1000 * silence_s),
         }
-        for peer in unheard
-    ]
-    for name in ("generations", "listening", "poolers"):
-        tables[name] = undo_calls.one_per_node(tables[name], unheard)
-    return {**tables, **shared_part(shell)}
-
-
-def hear(shell, peer: str, message) -> bool:
-    """Takes what peers say for the admin API; False if it is something else.
-
-    >>> hear(None, "", None)
-    False
-    """
-    if isinstance(message, Part):
-        if message.number in shell.parts:
-            shell.parts[message.number][peer] = message.tables
-        return True
-    if isinstance(message, Level):
-        apply_level(shell, message.level)
-        return True
-    if not isinstance(message, Inquire):
-        return False
 
-    async def tell_part():
-        part = Part(message.number, await own_part(shell))
-        shell.office.outbox.append(
-            (peer, part)
-        )  # only now: the outbox is another list after each wait
-        await shell.act()
+    def receive_reply(self, peer: str, message: TablesReply) -> None:
+        """A peer's part."""
+        if message.number in self._replies:
+            self._replies[message.number][peer] = message.tables
 
-    shell.errands.append(tell_part)
-    return True
+    def answer_request(self, peer: str, message: TablesRequest) -> None:
+        """A peer asks for our part; it is made in a task of its own, since poolers are waited for."""
 
+        async def answer() -> None:
+            tables = await self.own_tables()
+            self._process.core.send(peer, TablesReply(message.number, tables))
+            await self._process.flush()
 
-def apply_level(shell, level: str) -> None:
-    """Sets the level here and at the counters in session here."""
-    set_level(level)
-    scribe.say("the log level is %s", level)
-    for link in shell.counters.values():
-        shell.beat_counter(link, shell.now(), level=level)
+        self._process.background.append(answer)
 
-
-@serves("GET", r"/api/admin/fleet")
-async def get_fleet(shell, request: Request) -> Reply:
-    """All tables."""
-    return json_reply(200, await gather(shell))
-
-
-@serves("GET", r"/api/admin/([a-z]+)")
-async def get_table(shell, request: Request, name: str) -> Reply:
-    """One table."""
-    if name not in TABLES:
-        return mishap_reply(mishap("no_route", f"there is no table '{name}'"))
-    return json_reply(200, (await gather(shell))[name])
-
-
-@serves("PUT", r"/api/admin/lanes")
-async def put_lanes(shell, request: Request) -> Reply:
-    """Offers a set of databases for the priority lane; it comes into force once every counter holds it."""
-    try:
-        databases = json.loads(request.body)["databases"]
-    except (ValueError, KeyError, TypeError):
-        databases = None
-    if (
-        not isinstance(databases, list)
-        or len(databases) > priority.MOST_LANES
-        or not all(isinstance(name, str) and name and " " not in name for name in databases)
-    ):
-        return mishap_reply(mishap("bad_request", 'the body must be {"databases": [names]}'))
-    blueprint = shell.office.board.blueprint
-    known = {route.host for route in blueprint.routes} if blueprint else set()
-    unknown = sorted(set(databases) - known)
-    if unknown:
-        return mishap_reply(
-            mishap("unknown_database", f"the blueprint has no database '{unknown[0]}'")
-        )
-    result = await decide_at_once(shell, request, priority.KEY, priority.offer(databases))
-    if result.is_err():
-        return mishap_reply(result.err())
-    value = decode(priority.LanesValue, result.ok()[1])
-    return json_reply(
-        200,
-        {
-            "generation": value.generation if value else 0,
-            "databases": sorted(set(databases)),
-            "in_force": value.in_force if value else True,
-        },
-    )
-
-
-@serves("PUT", r"/api/admin/log-level")
-async def put_log_level(shell, request: Request) -> Reply:
-    """The log level of the whole fleet, until each process ends."""
-    try:
-        level = json.loads(request.body)["level"]
-    except (ValueError, KeyError, TypeError):
-        level = None
-    if level not in LEVELS:
-        return mishap_reply(
-            mishap("bad_request", f'the body must be {{"level": one of {", ".join(LEVELS)}}}')
-        )
-    apply_level(shell, level)
-    shell.office.tell_all(Level(level))
-    await shell.act()
-    return json_reply(200, {"level": level})
+    # ------------------------------------------------------------ log level
+    def apply_log_level(self, level: str) -> None:
+        """Sets the level here and at the poolers in session here."""
+        set_level(level)
+        logger.info("the log level is %s", level)
+        for link in self._process.poolers.values():
+            self._process.send_heartbeat(link, self._process.now(), log_level=level)
--- a/sumacloom/controller/admin/undo_calls.py
+++ b/sumacloom/controller/admin/undo_calls.py
@@ -1,113 +1,100 @@
-"""Undoing an edit of the blueprint: one order, and the table that shows which generation each node holds."""
+"""Undoing a change of the configuration: one order, and the table of the version that each node holds."""
 
 import json
+import logging
+from typing import TYPE_CHECKING, Any
 
-from sumacloom.controller.admin.routes import serves
-from sumacloom.controller.registers.values import BlueprintValue, decode, undo_blueprint
-from sumacloom.errors import mishap
-from sumacloom.http import Reply, Request, json_reply, mishap_reply
-from sumacloom.logs import Scribe
-from sumacloom.transport.update_cache import body_digest
+from sumacloom.consensus.codec import decode
+from sumacloom.controller.admin.routing import route
+from sumacloom.controller.registers import CONFIGURATION_KEY
+from sumacloom.controller.registers.configuration import (
+    ConfigurationValue,
+    current_value,
+    undo_configuration,
+)
+from sumacloom.errors import BadRequestError
+from sumacloom.http import Reply, Request, json_reply
+from sumacloom.transport.messages import CONTROLLER_ROLE, POOLER_ROLE
+from sumacloom.transport.update_cache import body_checksum
 
-scribe = Scribe("undo")
+if TYPE_CHECKING:
+    from sumacloom.controller.core import ControllerCore
+    from sumacloom.controller.process import ControllerProcess
 
+logger = logging.getLogger(__name__)
 
-@serves("POST", r"/api/admin/undo")
-async def post_undo(shell, request: Request) -> Reply:
-    """Brings the body before a generation back into force, as a new and higher generation."""
+
+@route("POST", "/api/admin/undo")
+async def post_undo(process: "ControllerProcess", request: Request) -> Reply:
+    """Brings the body before a version back into force, as a new and higher version."""
     try:
         wrong = json.loads(request.body)["generation"]
     except (ValueError, KeyError, TypeError):
         wrong = None
     if type(wrong) is not int or wrong < 1:
-        return mishap_reply(
-            mishap("bad_request", 'the body must be {"generation": the one that is to be undone}')
-        )
-    result = await shell.decide("blueprint", undo_blueprint(wrong))
-    if result.is_err():
-        return mishap_reply(result.err())
-    value = decode(BlueprintValue, result.ok()[1])
-    undone, old, ver = next(entry for entry in reversed(value.undos) if entry[0] == wrong)
-    scribe.say("the blueprint %d is undone: %d restores %d", undone, ver, old)
+        raise BadRequestError('the body must be {"generation": the one that is to be undone}')
+    value = current_value(await process.commit(CONFIGURATION_KEY, undo_configuration(wrong)))
+    undone, restored, ver = next(entry for entry in reversed(value.undos) if entry[0] == wrong)
+    logger.info("the configuration %d is undone: %d restores %d", undone, ver, restored)
     return json_reply(
-        200, {"undone": undone, "restores": old, "generation": ver, "current": value.ver}
+        200,
+        {"undone": undone, "restores": restored, "generation": ver, "current": value.ver},
     )
 
 
-def own_rows(office, node: str, reports: list[dict], sessions: list[str], now: float) -> list[dict]:
-    """What this registrar, its counters, and those that ended here without a word hold."""
-    board = office.board
-    value = (
-        decode(BlueprintValue, office.decided["blueprint"][1])
-        if "blueprint" in office.decided
-        else None
+def _row(
+    node: str, role: str, version: int = 0, body: str = "", restores: int = 0, why: str = ""
+) -> dict[str, Any]:
+    return {
+        "node": node,
+        "role": role,
+        "generation": version,
+        "body": body,
+        "restores": restores,
+        "why": why,
+    }
+
+
+def version_rows(
+    core: "ControllerCore", node: str, poolers: list[dict[str, Any]], now: float
+) -> list[dict[str, Any]]:
+    """What this controller, its poolers, and those that ended here without a goodbye hold."""
+    cache, register = core.cache, core.committed.get(CONFIGURATION_KEY)
+    value = decode(ConfigurationValue, register.value) if register else None
+    answered = {row["node"]: row for row in poolers}
+    own = _row(
+        node,
+        CONTROLLER_ROLE,
+        cache.digest().configuration,
+        body_checksum(cache.compressed),
+        value.restores if value else 0,
+        "" if core.in_quorum(now) else "hears no majority",
     )
-    told = {report["counter"]["node"]: report["counter"] for report in reports}
-    return [
-        {
-            "node": node,
-            "role": "registrar",
-            "generation": board.digest().blueprint,
-            "body": body_digest(board.packed),
-            "restores": value.restores if value else 0,
-            "why": "" if office.settled(now) else "hears no majority",
-        },
-        *(
-            {
-                "node": name,
-                "role": "counter",
-                "generation": row["blueprint"],
-                "body": row["body"],
-                "restores": 0,
-                "why": "" if row["ready"] else "not ready",
-            }
-            for name, row in told.items()
-        ),
-        *(
-            {
-                "node": name,
-                "role": "counter",
-                "generation": 0,
-                "body": "",
-                "restores": 0,
-                "why": "does not answer",
-            }
-            for name in sessions
-            if name not in told
-        ),
-        *(
-            {
-                "node": name,
-                "role": "counter",
-                "generation": 0,
-                "body": "",
-                "restores": 0,
-                "why": f"gone for {now - since:.0f} s",
-            }
-            for name, (_zone, since) in office.members.lost(now).items()
-        ),
+    rows = [own]
+    for name, row in answered.items():
+        why = "" if row["ready"] else "not ready"
+        rows.append(_row(name, POOLER_ROLE, row["blueprint"], row["body"], why=why))
+    silent = [name for name in core.members.sessions if name not in answered]
+    rows += [_row(name, POOLER_ROLE, why="does not answer") for name in silent]
+    lost = core.members.lost(now)
+    rows += [
+        _row(name, POOLER_ROLE, why=f"gone for {now - seen.at:.0f} s")
+        for name, seen in lost.items()
     ]
+    return rows
 
 
-def one_per_node(rows: list[dict], unheard: list[str]) -> list[dict]:
-    """Each node once: what it says itself goes before what others say of it; silent registrars by address.
+def one_per_node(rows: list[dict[str, Any]], unheard: list[str]) -> list[dict[str, Any]]:
+    """Each node once: what it says itself goes before what others say; silent controllers by address.
 
-    >>> [row["generation"] for row in one_per_node([{"node": "a", "generation": 0}, {"node": "a", "generation": 4}], [])]
+    >>> rows = [{"node": "a", "generation": 0}, {"node": "a", "generation": 4}]
+    >>> [row["generation"] for row in one_per_node(rows, [])]
     [4]
     """
-    best = {}
+    best: dict[str, dict[str, Any]] = {}
     for row in rows:
-        if row["generation"] >= best.get(row["node"], row)["generation"]:
+        known = best.get(row["node"], row)
+        if row["generation"] >= known["generation"]:
             best[row["node"]] = row
-    silent = [
-        {
-            "node": address,
-            "role": "registrar",
-            "generation": 0,
-            "body": "",
-            "restores": 0,
-            "why": "unheard",
-        }
-        for address in unheard
-    ]
+    silent = [_row(address, CONTROLLER_ROLE, why="unheard") for address in unheard]
     return [best[node] for node in sorted(best)] + silent
--- a/sumacloom/controller/delivery/feed.py
+++ b/sumacloom/controller/delivery/feed.py
@@ -1,178 +1,190 @@
-"""The feed of one database: the items that listeners take, each once; a register, changed by any registrar."""
+"""The feed of one database: the items that its subscribers take, each once; a register of its own."""
+
+from collections.abc import Callable
+from typing import NamedTuple
 
 import msgspec
 
-from sumacloom.controller.registers.values import decode, encode
-from sumacloom.errors import Err, Ok, mishap
+from sumacloom.consensus.codec import Change, decode, encode
+from sumacloom.errors import (
+    OffsetAheadError,
+    OffsetBehindError,
+    SubscriberLapsedError,
+    SubscriberNotFoundError,
+)
+
+MAX_ITEMS, MAX_BYTES = 1000, 256 << 10
+MAX_INCARNATIONS = 512
+
+# what became of a write, in delivery outcomes
+DONE, NOT_DONE, DOUBTFUL = "done", "not", "doubtful"
+
+
+class FeedItem(msgspec.Struct, array_like=True):
+    """One committed write; `doubtful` if no answer told whether it was committed."""
+
+    number: int
+    text: str
+    doubtful: bool
 
-MOST_ITEMS, MOST_BYTES = 1000, 256 << 10
-MOST_LIVES = 512
 
+class FeedEntry(NamedTuple):
+    """A write to append: the pooler's incarnation and number make it known again."""
 
-class Item(msgspec.Struct, array_like=True):
+    incarnation: int
     number: int
     text: str
-    doubtful: bool  # its commit may or may not be kept: no answer of the backend came
+    kind: str
 
 
 class Feed(msgspec.Struct, array_like=True):
-    """`seen` holds, for each life of a counter, the ranges of its numbers that were appended or dropped."""
+    """The register's value.
+
+    Attributes:
+        next: the number of the next item.
+        items: those that some subscriber has not acknowledged.
+        seen: for each incarnation of a pooler, the ranges of its numbers that were appended or dropped.
+        offsets: for each subscriber, the first number that it has not acknowledged.
+        lapsed: subscribers that were too slow, and how many items they missed.
+    """
 
     next: int = 1
-    items: list[Item] = []
+    items: list[FeedItem] = []
     seen: dict[int, list[list[int]]] = {}
-    cursors: dict[str, int] = {}  # listener: the first number that it has not yet acknowledged
-    lapsed: dict[str, int] = {}  # listener that was too slow: how many items it missed
+    offsets: dict[str, int] = {}
+    lapsed: dict[str, int] = {}
 
-    def has(self, life: int, number: int) -> bool:
-        """Whether the item of that life and number is behind us.
+    def has_seen(self, incarnation: int, number: int) -> bool:
+        """Whether the write of that incarnation and number was appended or dropped.
 
-        >>> feed = Feed(); feed.note(7, 1); feed.has(7, 1), feed.has(7, 2), feed.has(8, 1)
+        >>> feed = Feed(); feed.mark_seen(7, 1)
+        >>> feed.has_seen(7, 1), feed.has_seen(7, 2), feed.has_seen(8, 1)
         (True, False, False)
         """
-        return any(low <= number <= high for low, high in self.seen.get(life, ()))
+        return any(low <= number <= high for low, high in self.seen.get(incarnation, ()))
 
-    def note(self, life: int, number: int) -> None:
+    def mark_seen(self, incarnation: int, number: int) -> None:
         """Remembers a number; neighbours become one range.
 
-        >>> feed = Feed(); feed.note(7, 1); feed.note(7, 3); feed.note(7, 2); feed.seen
+        >>> feed = Feed(); feed.mark_seen(7, 1); feed.mark_seen(7, 3); feed.mark_seen(7, 2); feed.seen
         {7: [[1, 3]]}
         """
-        ranges = sorted([*self.seen.pop(life, []), [number, number]])
+        ranges = sorted([*self.seen.pop(incarnation, []), [number, number]])
         joined = ranges[:1]
         for low, high in ranges[1:]:
             if low <= joined[-1][1] + 1:
                 joined[-1][1] = max(joined[-1][1], high)
             else:
                 joined.append([low, high])
-        self.seen[life] = joined  # the life heard of last stands last
-        while len(self.seen) > MOST_LIVES:
+        self.seen[incarnation] = joined  # the incarnation heard of last stands last
+        while len(self.seen) > MAX_INCARNATIONS:
             del self.seen[next(iter(self.seen))]
 
-    def trim(self) -> None:
-        """Drops what every listener has acknowledged; ends the slowest, loudly, while there is too much.
+    def append(self, entry: FeedEntry) -> bool:
+        """Appends a write, or drops one that was not done; False if it was seen before."""
+        if self.has_seen(entry.incarnation, entry.number):
+            return False
+        self.mark_seen(entry.incarnation, entry.number)
+        if entry.kind != NOT_DONE and self.offsets:
+            self.items.append(FeedItem(self.next, entry.text, entry.kind == DOUBTFUL))
+            self.next += 1
+        return True
 
-        >>> feed = Feed(next=3, items=[Item(1, "a", False), Item(2, "b", False)], cursors={"desk": 2}); feed.trim()
-        >>> [item.number for item in feed.items]
-        [2]
-        """
+    def trim(self) -> None:
+        """Drops what every subscriber has acknowledged; ends the slowest while there is too much."""
         while True:
-            least = min(self.cursors.values(), default=self.next)
+            least = min(self.offsets.values(), default=self.next)
             self.items = [item for item in self.items if item.number >= least]
-            if not self.cursors or (
-                len(self.items) <= MOST_ITEMS
-                and sum(len(item.text) for item in self.items) <= MOST_BYTES
-            ):
+            if not self.offsets or self._fits():
                 return
-            slowest = min(self.cursors, key=self.cursors.get)
-            self.lapsed[slowest] = self.next - self.cursors.pop(slowest)
+            slowest = min(self.offsets, key=lambda name: self.offsets[name])
+            self.lapsed[slowest] = self.next - self.offsets.pop(slowest)
 
+    def _fits(self) -> bool:
+        size = sum(len(item.text) for item in self.items)
+        return len(self.items) <= MAX_ITEMS and size <= MAX_BYTES
 
-def changing(function):
-    """A change of a feed from a function that alters it and tells whether it did, or refuses.
 
-    >>> changing(lambda feed: Ok(False))(None)
-    Ok(None)
-    """
+def _change_feed(alter: Callable[[Feed], bool]) -> Change:
+    """A change made of a function that alters a feed and returns whether it did."""
 
-    def change(current_bytes):
-        feed = decode(Feed, current_bytes) or Feed()
-        result = function(feed)
-        return result if result.is_err() else Ok(encode(feed) if result.ok() else None)
+    def change(current: bytes | None) -> bytes | None:
+        feed = decode(Feed, current) or Feed()
+        return encode(feed) if alter(feed) else None
 
     return change
 
 
-def append(entries: list[tuple[int, int, str, str]]):
-    """The change that appends (life, number, text, kind); what was seen before is a no-op.
+def append(entries: list[FeedEntry]) -> Change:
+    """The change that appends writes; what was seen before is left out.
 
-    >>> once = append([(7, 1, "PUT a b", "done")]); joined = join("desk")(None).ok()
-    >>> feed = decode(Feed, once(joined).ok()); [item.text for item in feed.items], once(once(joined).ok())
-    (['PUT a b'], Ok(None))
+    >>> once = append([FeedEntry(7, 1, "PUT a b", "done")]); joined = join("desk")(None)
+    >>> feed = decode(Feed, once(joined)); [item.text for item in feed.items], once(once(joined))
+    (['PUT a b'], None)
     """
 
-    def alter(feed):
-        fresh = [entry for entry in entries if not feed.has(*entry[:2])]
-        for life, number, text, kind in fresh:
-            if feed.has(life, number):
-                continue
-            feed.note(life, number)
-            if kind != "not" and feed.cursors:
-                feed.items.append(Item(feed.next, text, kind == "doubtful"))
-                feed.next += 1
+    def alter(feed: Feed) -> bool:
+        appended = [feed.append(entry) for entry in entries]
         feed.trim()
-        return Ok(bool(fresh))
+        return any(appended)
 
-    return changing(alter)
+    return _change_feed(alter)
 
 
-def join(name: str):
-    """The change that lets a listener in: it gets all that is appended from now on.
+def join(name: str) -> Change:
+    """The change that lets a subscriber in: it gets all that is appended from now on.
 
-    >>> decode(Feed, join("desk")(None).ok()).cursors
+    >>> decode(Feed, join("desk")(None)).offsets
     {'desk': 1}
     """
 
-    def alter(feed):
-        if name in feed.cursors:
-            return Ok(False)
+    def alter(feed: Feed) -> bool:
+        if name in feed.offsets:
+            return False
         feed.lapsed.pop(name, None)
-        feed.cursors[name] = feed.next
-        return Ok(True)
+        feed.offsets[name] = feed.next
+        return True
 
-    return changing(alter)
+    return _change_feed(alter)
 
 
-def leave(name: str):
-    """The change that forgets a listener.
-
-    >>> decode(Feed, leave("desk")(join("desk")(None).ok()).ok()).cursors
-    {}
-    """
+def leave(name: str) -> Change:
+    """The change that forgets a subscriber."""
 
-    def alter(feed):
-        there = name in feed.cursors or name in feed.lapsed
-        feed.cursors.pop(name, None), feed.lapsed.pop(name, None)
+    def alter(feed: Feed) -> bool:
+        known = name in feed.offsets or name in feed.lapsed
+        feed.offsets.pop(name, None)
+        feed.lapsed.pop(name, None)
         feed.trim()
-        return Ok(there)
+        return known
 
-    return changing(alter)
+    return _change_feed(alter)
 
 
-def acknowledge(name: str, cursor: int):
-    """The change that takes a listener's cursor: all below it is acknowledged.
+def lapsed_error(missed: int) -> SubscriberLapsedError:
+    """The error for a subscriber that was too slow."""
+    return SubscriberLapsedError(
+        f"the subscriber was too slow and missed {missed} items; subscribe anew"
+    )
 
-    >>> acknowledge("desk", 9)(join("desk")(None).ok()).err().name
-    'cursor_ahead'
-    """
 
-    def alter(feed):
+def acknowledge(name: str, offset: int) -> Change:
+    """The change that takes a subscriber's offset: all below it is acknowledged."""
+
+    def alter(feed: Feed) -> bool:
         if name in feed.lapsed:
-            return Err(
-                mishap(
-                    "lapsed",
-                    f"the listener was too slow and missed {feed.lapsed[name]} items; listen anew",
-                )
-            )
-        if name not in feed.cursors:
-            return Err(mishap("no_listener"))
-        if cursor > feed.next:
-            return Err(
-                mishap(
-                    "cursor_ahead",
-                    f"the cursor {cursor} is ahead of the feed, whose next item is {feed.next}",
-                )
-            )
-        if cursor < feed.cursors[name]:
-            return Err(
-                mishap(
-                    "cursor_behind",
-                    f"all below {feed.cursors[name]} was acknowledged and is no longer kept",
-                )
+            raise lapsed_error(feed.lapsed[name])
+        if name not in feed.offsets:
+            raise SubscriberNotFoundError
+        if offset > feed.next:
+            raise OffsetAheadError(
+                f"the offset {offset} is ahead of the feed, whose next item is {feed.next}"
             )
-        moved = cursor > feed.cursors[name]
-        feed.cursors[name] = cursor
+        before = feed.offsets[name]
+        if offset < before:
+            raise OffsetBehindError(f"all below {before} was acknowledged and is no longer kept")
+        feed.offsets[name] = offset
         feed.trim()
-        return Ok(moved)
+        return offset > before
 
-    return changing(alter)
+    return _change_feed(alter)
--- a/sumacloom/controller/delivery/log.py
+++ b/sumacloom/controller/delivery/log.py
@@ -1,272 +1,329 @@
-"""Intents and verdicts of counters, on disk until their feed holds them.
+"""The delivery log: intents and outcomes of poolers, on disk until their feed holds them.
 
-A counter may send a write on a listened database only once its intent is held here. The copy at another
-registrar, the `spare`, takes over if this one is lost. The feed makes a second append of one item a no-op,
-so whoever holds an entry may append it: spares later, and what has no verdict only when its counter is gone.
+A pooler may send a write on a database with subscribers only once its intent is stored here. A replica at
+another controller takes over if this one is lost. The feed makes a second append of one item a no-op, so
+whoever holds an entry may append it: replicas later, and what has no outcome only when its pooler is gone.
 """
 
+import logging
 import zlib
-
-from sumacloom.consensus import reconfiguration
-from sumacloom.consensus.handlers import hears
-from sumacloom.controller.delivery import subscribers
-from sumacloom.controller.delivery.feed import append
-from sumacloom.logs import Scribe
-from sumacloom.transport.messages import Held, Intent, Noted, Spare, SpareHeld, Verdict
-
-scribe = Scribe("spool")
-SPARE_S = 0.2  # how long one spare is waited for while a counter waits, then the next is asked
-SPARE_AGAIN_S = 0.4  # and how long while none does
-SPARE_TURN_S = 2.0  # how much later a spare appends
-GONE_S = 5.0  # a counter unheard by everyone for so long sends no verdict any more
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+from sumacloom.controller.delivery.feed import DOUBTFUL, Feed, FeedEntry, append
+from sumacloom.controller.registers import FEED_PREFIX
+from sumacloom.transport.messages import (
+    DeliveryIntent,
+    DeliveryOutcome,
+    IntentReplica,
+    IntentStored,
+    OutcomeAcknowledged,
+    ReplicaStored,
+)
+
+if TYPE_CHECKING:
+    from sumacloom.controller.core import ControllerCore
+
+logger = logging.getLogger(__name__)
+
+REPLICA_TIMEOUT_S = 0.2  # while a pooler waits; then the next controller is asked
+REPLICA_RETRY_S = 0.4  # while none does
+REPLICA_DELAY_S = 2.0  # how much later a replica appends
+LOST_POOLER_S = 5.0  # a pooler unheard by everyone for so long sends no outcome any more
 APPEND_EVERY_S = 0.1
-MOST_BATCH = 200
+MAX_BATCH = 200
+NEVER = -1e9
+
+STORED_RECORD, SPENT_RECORD = "spooled", "spent"  # kinds of our records in the log
+
+
+class EntryKey(NamedTuple):
+    """What tells one write from another; in the order of stored records."""
+
+    incarnation: int
+    database: str
+    number: int
 
 
-class Entry:
-    """One intent: who has it, what became of it, and who waits for word."""
+def key_of(message: Any) -> EntryKey:
+    """The key of what a message is about."""
+    return EntryKey(message.incarnation, message.database, message.number)
+
+
+class DeliveryEntry:
+    """One intent.
+
+    Attributes:
+        node: the pooler.
+        kind: what became of the write; "" while that is unknown.
+        is_replica: whether this is another controller's replica.
+        client: the pooler's session here, if it waits for a reply.
+        waits_for: what the pooler still waits for: "disk", "replica".
+        replica_at: the controller that holds, or is asked to hold, the other copy.
+        replicated: whether another disk is known to hold it.
+    """
 
     __slots__ = (
-        "asked",
         "client",
-        "copied",
+        "is_replica",
         "kind",
-        "lacks",
         "node",
-        "place",
-        "sent_at",
+        "replica_at",
+        "replicated",
+        "request_sent_at",
+        "requested",
         "since",
-        "spare",
         "text",
-        "unheard",
+        "unheard_since",
+        "waits_for",
     )
 
-    def __init__(self, node: str, text: str, kind: str, spare: bool, now: float):
-        self.node, self.text, self.kind, self.spare, self.since = node, text, kind, spare, now
-        self.unheard = None  # since when the counter is unheard by everyone
-        self.client, self.lacks, self.place = "", set(), ""
-        self.copied, self.asked, self.sent_at = (
-            False,
-            False,
-            now,
-        )  # whether another disk holds it, was asked to, and when
-
-
-class Spool:
-    """The entries of one registrar by (life, database, number)."""
-
-    def __init__(self, office, records: list, now: float):
-        self.office, self.entries, self.appended_at = office, {}, {}
-        for kind, *rest in [found for found in records if found[0] in ("spooled", "spent")]:
-            key, rest = tuple(rest[:3]), rest[3:]
-            if kind == "spooled":
-                self.entries[key] = Entry(*rest, now)
-            else:
-                self.entries.pop(key, None)
-
+    def __init__(self, node: str, text: str, kind: str, is_replica: bool, now: float):
+        self.node = node
+        self.text = text
+        self.kind = kind
+        self.is_replica = is_replica
+        self.since = now
+        self.unheard_since: float | None = None
+        self.client = ""
+        self.waits_for: set[str] = set()
+        self.replica_at = ""
+        self.replicated = self.requested = False
+        self.request_sent_at = now
+
+    def record(self, key: EntryKey) -> tuple:
+        """The entry as the log keeps it."""
+        return (STORED_RECORD, *key, self.node, self.text, self.kind, self.is_replica)
+
+
+class DeliveryLog:
+    """The entries of one controller."""
+
+    def __init__(self, core: "ControllerCore", records: list[tuple], now: float):
+        self._core = core
+        self.entries: dict[EntryKey, DeliveryEntry] = {}
+        self.appended_at: dict[str, float] = {}
+        for kind, *items in records:
+            if kind == STORED_RECORD:
+                incarnation, database, number, node, text, outcome, is_replica = items
+                key = EntryKey(incarnation, database, number)
+                self.entries[key] = DeliveryEntry(node, text, outcome, is_replica, now)
+            elif kind == SPENT_RECORD:
+                self.entries.pop(EntryKey(*items[:3]), None)
+
+    # ------------------------------------------------------------ disk
     def records(self) -> list[tuple]:
         """All entries, for a snapshot.
 
-        >>> Spool(None, [("spooled", 7, "books", 1, "edge-1", "PUT a b", "", False)], 0.0).records()
-        [('spooled', 7, 'books', 1, 'edge-1', 'PUT a b', '', False)]
+        >>> record = ("spooled", 7, "books", 1, "edge-1", "PUT a b", "", False)
+        >>> DeliveryLog(None, [record], 0.0).records() == [record]
+        True
         """
-        return [record(key, entry) for key, entry in self.entries.items()]
-
-    def write(self, key: tuple, entry: Entry) -> None:
-        """Puts an entry on its way to the disk."""
-        self.office.storage.write_records([record(key, entry)])
-
-    def drop(self, keys: list[tuple]) -> None:
-        """Forgets entries that need no more.
-
-        >>> Spool(None, [], 0.0).drop([])
-        """
-        gone = {key: entry for key in keys if (entry := self.entries.pop(key, None))}
-        for key, entry in gone.items():
+        return [entry.record(key) for key, entry in self.entries.items()]
+
+    def _write(self, key: EntryKey, entry: DeliveryEntry) -> None:
+        self._core.storage.write_records([entry.record(key)])
+
+    def drop(self, keys: list[EntryKey]) -> None:
+        """Forgets entries that need no more, and tells the poolers that wait."""
+        dropped = []
+        for key in keys:
+            entry = self.entries.pop(key, None)
+            if entry is None:
+                continue
+            dropped.append(key)
             if entry.client and entry.kind:
-                self.office.outbox.append((entry.client, Noted(key[0], key[2], key[1])))
-        if gone:
-            self.office.storage.write_records([("spent", *key) for key in gone])
-
-    def sweep(self, database: str, feed) -> None:
-        """The feed was decided anew: what it has seen is spent.
-
-        >>> Spool(None, [], 0.0).sweep("books", None)
-        """
-        self.drop([key for key in self.entries if key[1] == database and feed.has(key[0], key[2])])
-
-
-def record(key: tuple, entry: Entry) -> tuple:
-    """An entry as the ledger keeps it.
-
-    >>> record((7, "books", 1), Entry("edge-1", "PUT a b", "done", True, 0.0))
-    ('spooled', 7, 'books', 1, 'edge-1', 'PUT a b', 'done', True)
-    """
-    return ("spooled", *key, entry.node, entry.text, entry.kind, entry.spare)
-
-
-def place_of(message) -> tuple:
-    """The key of what a message is about.
-
-    >>> place_of(Held(7, 1, "books"))
-    (7, 'books', 1)
-    """
-    return (message.life, message.database, message.number)
-
-
-def take_intent(office, client: str, message: Intent, now: float) -> None:
-    """A counter's intent: onto the disk here and at another registrar; then the counter hears of it."""
-    spool, key = office.spool, place_of(message)
-    entry = spool.entries.get(key)
-    if entry is None:
-        entry = spool.entries[key] = Entry(message.node, message.text, "", False, now)
-        spool.write(key, entry)
-    entry.client, entry.lacks, entry.since = client, {"disk"}, now
-    if send_spare(office, key, entry, now):
-        entry.lacks.add("spare")
-    office.release(office.me, Held(*key[::2], message.database))
-
-
-def send_spare(office, key: tuple, entry: Entry, now: float) -> bool:
-    """Asks another registrar to hold a copy, the next one if the last was silent; False if none is heard."""
-    peers = spares(office, now)
-    if not peers:
-        return False
-    if entry.place not in peers:
-        entry.place = peers[zlib.crc32(office.me.encode()) % len(peers)]
-    elif entry.asked:
-        entry.place = peers[(peers.index(entry.place) + 1) % len(peers)]
-    entry.asked, entry.copied, entry.sent_at = True, False, now
-    office.outbox.append(
-        (entry.place, Spare(*key[::2], key[1], entry.text, entry.node, entry.kind))
-    )
-    return True
-
-
-def spares(office, now: float) -> list[str]:
-    """The registrars that may hold a copy: heard, hearing us, and not on their way out if others are there."""
-    peers = [
-        peer
-        for peer in office.others()
-        if office.alive(peer, now) and office.me in office.peers[peer][1].hears
-    ]
-    return [peer for peer in peers if office.peers[peer][1].voting] or peers
-
-
-def unhanded(office) -> list[tuple]:
-    """The entries that no other disk is known to hold."""
-    return [key for key, entry in office.spool.entries.items() if not entry.copied]
-
-
-def may_leave(office, now: float) -> bool:
-    """Whether a registrar that is being stopped may end, as far as voters and spool go."""
-    return reconfiguration.may_go(office, now) and (not spares(office, now) or not unhanded(office))
-
-
-def take_verdict(office, client: str, message: Verdict, now: float) -> None:
-    """What became of an intent, here or at a registrar that is gone.
-
-    It is noted only once the feed has it: a verdict on one disk could be lost with that disk while its
-    counter, which lives on, had already forgotten it.
-    """
-    spool, key = office.spool, place_of(message)
-    seen = subscribers.feed_of(office, message.database).has(message.life, message.number)
-    if not seen:
-        entry = spool.entries.get(key)
+                done = OutcomeAcknowledged(key.incarnation, key.number, key.database)
+                self._core.send(entry.client, done)
+        if dropped:
+            self._core.storage.write_records([(SPENT_RECORD, *key) for key in dropped])
+
+    def apply_feed(self, database: str, feed: Feed) -> None:
+        """A feed was committed anew: what it has seen is spent."""
+        self.drop(
+            [
+                key
+                for key in self.entries
+                if key.database == database and feed.has_seen(key.incarnation, key.number)
+            ]
+        )
+
+    # ------------------------------------------------------------ poolers
+    def take_intent(self, client: str, message: DeliveryIntent, now: float) -> None:
+        """A pooler's intent: onto the disk here and at another controller; then the pooler hears of it."""
+        key = key_of(message)
+        entry = self.entries.get(key)
         if entry is None:
-            entry = spool.entries[key] = Entry(message.node, message.text, message.kind, False, now)
-        fresh = (entry.kind, entry.spare) != (message.kind, False)
-        entry.kind, entry.spare, entry.since, entry.client = message.kind, False, now, client
-        if fresh:
-            spool.write(key, entry)
-            send_spare(office, key, entry, now)
-        return
-    office.release(client, Noted(message.life, message.number, message.database))
-
-
-@hears(Held)
-def disk_holds(office, _peer: str, message, now: float) -> None:
-    """Our own disk holds an intent."""
-    step_on(office, place_of(message), "disk")
-
-
-@hears(SpareHeld)
-def spare_holds(office, peer: str, message, now: float) -> None:
-    """The other registrar's disk holds an intent."""
-    key = place_of(message)
-    entry = office.spool.entries.get(key)
-    if entry:
-        entry.copied, entry.asked, entry.place = True, False, peer
-    step_on(office, key, "spare")
-
-
-def step_on(office, key: tuple, what: str) -> None:
-    """One thing less that the counter waits for."""
-    entry = office.spool.entries.get(key)
-    if entry and what in entry.lacks:
-        entry.lacks.discard(what)
-        if not entry.lacks:
-            office.outbox.append((entry.client, Held(key[0], key[2], key[1])))
-
-
-@hears(Spare)
-def take_spare(office, peer: str, message, now: float) -> None:
-    """Another registrar's copy."""
-    spool, key = office.spool, place_of(message)
-    if not subscribers.feed_of(office, message.database).has(message.life, message.number):
-        held = spool.entries.get(key)
-        entry = spool.entries.setdefault(key, Entry(message.node, message.text, "", True, now))
-        fresh = held is None or (message.kind and message.kind != held.kind)
-        entry.kind, entry.since = message.kind or entry.kind, now
-        if held is None:
-            entry.place, entry.copied = peer, True
-        if fresh:  # asked again, it is on its way to the disk already
-            spool.write(key, entry)
-    office.release(peer, SpareHeld(message.life, message.number, message.database))
-
-
-def ripe(office, key: tuple, entry: Entry, lives: dict, now: float) -> str:
-    """What an entry may be appended as now; nothing while it must wait."""
-    if entry.kind:
-        return entry.kind if not entry.spare or now - entry.since >= SPARE_TURN_S else ""
-    if lives.get(entry.node) == key[0]:
-        entry.unheard = None
-        return ""
-    entry.unheard = entry.unheard or now
-    return "doubtful" if now - entry.unheard >= GONE_S else ""
-
-
-def mind_spool(office, now: float) -> None:
-    """Has every entry held at a second disk; appends what is ripe.
-
-    A counter waits for the second disk wherever another registrar is heard. Where none is, one must do: a side
-    that is cut off goes on committing.
-    """
-    spool = office.spool
-    if not spool.entries:
-        return
-    peers = spares(office, now)
-    for key, entry in spool.entries.items():
-        if entry.copied and peers and entry.place not in peers:
-            entry.copied = False  # who held the other copy is gone
-        if not entry.copied and now - entry.sent_at >= (SPARE_S if entry.lacks else SPARE_AGAIN_S):
-            send_spare(office, key, entry, now)
+            entry = DeliveryEntry(message.node, message.text, "", False, now)
+            self.entries[key] = entry
+            self._write(key, entry)
+        entry.client, entry.since = client, now
+        entry.waits_for = {"disk"}
+        if self._request_replica(key, entry, now):
+            entry.waits_for.add("replica")
+        stored = IntentStored(key.incarnation, key.number, key.database)
+        self._core.send_when_synced(self._core.me, stored)
+
+    def take_outcome(self, client: str, message: DeliveryOutcome, now: float) -> None:
+        """What became of an intent, here or at a controller that is gone.
+
+        It is acknowledged only once the feed has it: an outcome on one disk could be lost with that disk
+        while its pooler, which lives on, had already forgotten it.
+        """
+        key = key_of(message)
+        if self._feed_has(key):
+            done = OutcomeAcknowledged(key.incarnation, key.number, key.database)
+            self._core.send_when_synced(client, done)
+            return
+        entry = self.entries.get(key)
+        if entry is None:  # not written: its pooler repeats it until the feed has it
+            entry = DeliveryEntry(message.node, message.text, message.kind, False, now)
+            self.entries[key] = entry
+        changed = (entry.kind, entry.is_replica) != (message.kind, False)
+        entry.kind, entry.is_replica = message.kind, False
+        entry.since, entry.client = now, client
+        if changed:
+            self._write(key, entry)
+            self._request_replica(key, entry, now)
+
+    def _feed_has(self, key: EntryKey) -> bool:
+        feed = self._core.subscriptions.feed(key.database)
+        return feed.has_seen(key.incarnation, key.number)
+
+    # ------------------------------------------------------------ replicas
+    def replica_candidates(self, now: float) -> list[str]:
+        """The controllers that may hold a replica: in contact both ways, not leaving if others are there."""
+        core = self._core
+        peers = [
+            peer
+            for peer in core.peer_addresses()
+            if core.is_alive(peer, now) and core.acknowledges_us(peer)
+        ]
+        return [peer for peer in peers if core.peers[peer].heartbeat.voting] or peers
+
+    def _request_replica(self, key: EntryKey, entry: DeliveryEntry, now: float) -> bool:
+        """Asks another controller to hold a replica, the next one if the last was silent.
+
+        Returns:
+            False if no other controller is in contact.
+        """
+        peers = self.replica_candidates(now)
         if not peers:
-            step_on(office, key, "spare")
-    if not office.settled(now):
-        return
-    lives, batches = office.members.lives(now), {}
-    for key, entry in spool.entries.items():
-        kind = ripe(office, key, entry, lives, now)
-        if kind:
-            batches.setdefault(key[1], []).append((key[0], key[2], entry.text, kind))
-    listened = subscribers.held(office).feeds
-    for database, entries in batches.items():
-        feed_key = subscribers.FEEDS + database
-        if database not in listened:
-            spool.drop([(life, database, number) for life, number, *_rest in entries])
-        elif now - spool.appended_at.get(database, -1e9) >= APPEND_EVERY_S and not any(
-            proposal.key == feed_key for proposal in office.proposals
-        ):
-            spool.appended_at[database] = now
-            office.propose(feed_key, append(sorted(entries)[:MOST_BATCH]), now)
+            return False
+        if entry.replica_at not in peers:
+            entry.replica_at = peers[zlib.crc32(self._core.me.encode()) % len(peers)]
+        elif entry.requested:
+            entry.replica_at = peers[(peers.index(entry.replica_at) + 1) % len(peers)]
+        entry.requested, entry.replicated, entry.request_sent_at = True, False, now
+        replica = IntentReplica(
+            key.incarnation, key.number, key.database, entry.text, entry.node, entry.kind
+        )
+        self._core.send(entry.replica_at, replica)
+        return True
+
+    def handle_intent_stored(self, _peer: str, message: IntentStored, now: float) -> None:
+        """Our own disk holds an intent."""
+        self._done_waiting(key_of(message), "disk")
+
+    def handle_replica_stored(self, peer: str, message: ReplicaStored, now: float) -> None:
+        """Another controller's disk holds an intent."""
+        key = key_of(message)
+        entry = self.entries.get(key)
+        if entry:
+            entry.replicated, entry.requested, entry.replica_at = True, False, peer
+        self._done_waiting(key, "replica")
+
+    def _done_waiting(self, key: EntryKey, what: str) -> None:
+        entry = self.entries.get(key)
+        if entry is None or what not in entry.waits_for:
+            return
+        entry.waits_for.discard(what)
+        if not entry.waits_for:
+            stored = IntentStored(key.incarnation, key.number, key.database)
+            self._core.send(entry.client, stored)
+
+    def handle_replica(self, peer: str, message: IntentReplica, now: float) -> None:
+        """Another controller asks us to hold a replica."""
+        key = key_of(message)
+        if not self._feed_has(key):
+            self._take_replica(key, peer, message, now)
+        stored = ReplicaStored(key.incarnation, key.number, key.database)
+        self._core.send_when_synced(peer, stored)
+
+    def _take_replica(self, key: EntryKey, peer: str, message: IntentReplica, now: float) -> None:
+        known = self.entries.get(key)
+        if known is None:
+            entry = DeliveryEntry(message.node, message.text, message.kind, True, now)
+            entry.replica_at, entry.replicated = peer, True
+            self.entries[key] = entry
+            self._write(key, entry)
+            return
+        changed = bool(message.kind) and message.kind != known.kind
+        known.kind = message.kind or known.kind
+        known.since = now
+        if changed:  # asked again, it is on its way to the disk already
+            self._write(key, known)
+
+    def unreplicated(self) -> list[EntryKey]:
+        """The entries that no other disk is known to hold."""
+        return [key for key, entry in self.entries.items() if not entry.replicated]
+
+    def may_leave(self, now: float) -> bool:
+        """Whether a controller that is being stopped may end, as far as its entries go."""
+        return not self.replica_candidates(now) or not self.unreplicated()
+
+    # ------------------------------------------------------------ timers
+    def ripe_kind(
+        self, key: EntryKey, entry: DeliveryEntry, incarnations: dict[str, int], now: float
+    ) -> str:
+        """What an entry may be appended as now; "" while it must wait."""
+        if entry.kind:
+            waits = entry.is_replica and now - entry.since < REPLICA_DELAY_S
+            return "" if waits else entry.kind
+        if incarnations.get(entry.node) == key.incarnation:
+            entry.unheard_since = None
+            return ""
+        entry.unheard_since = entry.unheard_since or now
+        return DOUBTFUL if now - entry.unheard_since >= LOST_POOLER_S else ""
+
+    def on_timer(self, now: float) -> None:
+        """Has every entry held at a second disk, and appends what is ripe."""
+        if not self.entries:
+            return
+        self._maintain_replicas(now)
+        if self._core.in_quorum(now):
+            self._append_ripe(now)
+
+    def _maintain_replicas(self, now: float) -> None:
+        """A pooler waits for the second disk wherever another controller is in contact.
+
+        Where none is, one disk must do: a side that is partitioned goes on committing.
+        """
+        peers = self.replica_candidates(now)
+        for key, entry in self.entries.items():
+            if entry.replicated and peers and entry.replica_at not in peers:
+                entry.replicated = False  # who held the other copy is gone
+            retry_s = REPLICA_TIMEOUT_S if entry.waits_for else REPLICA_RETRY_S
+            if not entry.replicated and now - entry.request_sent_at >= retry_s:
+                self._request_replica(key, entry, now)
+            if not peers:
+                self._done_waiting(key, "replica")
+
+    def _append_ripe(self, now: float) -> None:
+        core = self._core
+        incarnations = core.members.incarnations(now)
+        batches: dict[str, list[FeedEntry]] = {}
+        for key, entry in self.entries.items():
+            kind = self.ripe_kind(key, entry, incarnations, now)
+            if kind:
+                item = FeedEntry(key.incarnation, key.number, entry.text, kind)
+                batches.setdefault(key.database, []).append(item)
+        subscribed = core.subscriptions.value().feeds
+        for database, items in batches.items():
+            if database not in subscribed:
+                self.drop([EntryKey(item.incarnation, database, item.number) for item in items])
+                continue
+            last = self.appended_at.get(database, NEVER)
+            feed_key = FEED_PREFIX + database
+            if now - last >= APPEND_EVERY_S and not core.is_busy(feed_key):
+                self.appended_at[database] = now
+                core.propose(feed_key, append(sorted(items)[:MAX_BATCH]), now)
--- a/sumacloom/controller/delivery/subscribers.py
+++ b/sumacloom/controller/delivery/subscribers.py
@@ -1,182 +1,192 @@
-"""Who listens: a register, brought to every node as news; nobody disappears but by a recorded order.
+"""Who subscribes to which database: a register, brought to every node as an update.
 
-A listener is `joining` until every counter holds the list (also one lost without a word, for as long as it is
-remembered), then its place in the feed is taken, then it is `listening`. One that is too slow is `lapsed`.
+A subscriber is `joining` until every pooler holds the list (also one lost without a goodbye, for as long as
+it is remembered); then its offset in the feed is taken, then it is `listening`. One that is too slow is
+`lapsed`. Nobody disappears but by a recorded order.
 """
 
+import logging
+from typing import TYPE_CHECKING
+
 import msgspec
 
+from sumacloom.consensus.codec import Change, decode, encode
 from sumacloom.controller.delivery.feed import Feed, join, leave
-from sumacloom.controller.failover import lease
-from sumacloom.controller.registers.values import decode, encode
-from sumacloom.errors import Err, Ok, mishap
-from sumacloom.logs import Scribe
-from sumacloom.transport.updates import ListenNews
+from sumacloom.controller.registers import FEED_PREFIX, SUBSCRIBERS_KEY
+from sumacloom.errors import (
+    StaleVersionError,
+    SubscriberExistsError,
+    SubscriberNotFoundError,
+    TooManySubscribersError,
+)
+from sumacloom.transport.updates import SubscriberUpdate
 
-scribe = Scribe("listeners")
-KEY = "listeners"
-FEEDS = "feed/"
-MOST_LISTENERS, MOST_ENDED = 256, 64
+if TYPE_CHECKING:
+    from sumacloom.controller.core import ControllerCore
 
+logger = logging.getLogger(__name__)
 
-class Row(msgspec.Struct, array_like=True):
-    name: str
-    database: str
-    state: str  # joining listening lapsed
-    token: str  # the caller's own: the same call again is no second listener
-    since: int  # the generation in which it came
-    missed: int = 0
+MAX_SUBSCRIBERS, MAX_ENDED = 256, 64
+JOINING, LISTENING, LAPSED = "joining", "listening", "lapsed"
 
 
-class Listeners(msgspec.Struct, array_like=True):
-    generation: int = 0
-    rows: list[Row] = []
-    feeds: list[str] = []  # databases that were ever listened to
-    ended: list[tuple[str, str, int, str]] = []  # name, database, generation, by what order
+class Subscriber(msgspec.Struct, array_like=True):
+    """One subscriber.
 
-    def news(self) -> ListenNews:
-        """As it goes to every node.
+    Attributes:
+        token: the caller's own; the same call again is no second subscriber.
+        since: the version in which it came.
+        missed: how many items it missed when it lapsed.
+    """
 
-        >>> Listeners(1, [Row("desk", "books", "joining", "t", 1)]).news().rows
-        [('desk', 'books', 'joining')]
-        """
-        return ListenNews(
-            self.generation, [(row.name, row.database, row.state) for row in self.rows]
-        )
+    name: str
+    database: str
+    state: str
+    token: str
+    since: int
+    missed: int = 0
 
-    def find(self, name: str, database: str) -> Row | None:
-        """The row of a listener.
 
-        >>> Listeners().find("desk", "books") is None
-        True
-        """
-        return next(
-            (row for row in self.rows if (row.name, row.database) == (name, database)), None
-        )
+class SubscribersValue(msgspec.Struct, array_like=True):
+    """The register's value.
 
+    Attributes:
+        feeds: databases that ever had a subscriber.
+        ended: (name, database, version, by what order) of those that ended lately.
+    """
 
-def held(office) -> Listeners:
-    """The list as this registrar knows it to be decided."""
-    return decode(Listeners, office.decided[KEY][1]) if KEY in office.decided else Listeners()
+    version: int = 0
+    rows: list[Subscriber] = []
+    feeds: list[str] = []
+    ended: list[tuple[str, str, int, str]] = []
 
+    def update(self) -> SubscriberUpdate:
+        """As it goes to every node."""
+        rows = [(row.name, row.database, row.state) for row in self.rows]
+        return SubscriberUpdate(self.version, rows)
 
-def feed_of(office, database: str) -> Feed:
-    """The feed as this registrar knows it to be decided."""
-    found = office.decided.get(FEEDS + database)
-    return decode(Feed, found[1]) if found else Feed()
+    def find(self, name: str, database: str) -> Subscriber | None:
+        """A subscriber by name and database."""
+        wanted = (name, database)
+        return next((row for row in self.rows if (row.name, row.database) == wanted), None)
 
 
-def subscribe(name: str, database: str, token: str):
-    """The change that adds a listener; the same call again changes nothing, another's name is taken.
+def subscribe(name: str, database: str, token: str) -> Change:
+    """The change that adds a subscriber; the same call again changes nothing.
 
-    >>> change = subscribe("desk", "books", "t"); first = change(None).ok()
-    >>> change(first), subscribe("desk", "books", "u")(first).err().name
-    (Ok(None), 'listener_exists')
+    >>> change = subscribe("desk", "books", "t"); first = change(None); change(first) is None
+    True
     """
 
-    def change(current_bytes):
-        current = decode(Listeners, current_bytes) or Listeners()
-        row = current.find(name, database)
-        if row and row.state != "lapsed":
-            return Ok(None) if row.token == token else Err(mishap("listener_exists"))
-        if len(current.rows) >= MOST_LISTENERS:
-            return Err(mishap("too_many_listeners"))
-        generation = current.generation + 1
-        rows = [other for other in current.rows if other is not row]
-        return Ok(
-            encode(
-                Listeners(
-                    generation,
-                    [*rows, Row(name, database, "joining", token, generation)],
-                    sorted({*current.feeds, database}),
-                    current.ended,
-                )
-            )
-        )
+    def change(current: bytes | None) -> bytes | None:
+        value = decode(SubscribersValue, current) or SubscribersValue()
+        known = value.find(name, database)
+        if known and known.state != LAPSED:
+            if known.token != token:
+                raise SubscriberExistsError
+            return None
+        if len(value.rows) >= MAX_SUBSCRIBERS:
+            raise TooManySubscribersError
+        version = value.version + 1
+        others = [row for row in value.rows if row is not known]
+        rows = [*others, Subscriber(name, database, JOINING, token, version)]
+        feeds = sorted({*value.feeds, database})
+        return encode(SubscribersValue(version, rows, feeds, value.ended))
 
     return change
 
 
-def unsubscribe(name: str, database: str, why: str):
-    """The change that ends a listener, by a recorded order; ended before, it changes nothing.
-
-    >>> unsubscribe("desk", "books", "asked")(None).err().name
-    'no_listener'
-    """
+def unsubscribe(name: str, database: str, why: str) -> Change:
+    """The change that ends a subscriber by a recorded order; ended before, it changes nothing."""
 
-    def change(current_bytes):
-        current = decode(Listeners, current_bytes) or Listeners()
-        if current.find(name, database) is None:
-            was = any(entry[:2] == (name, database) for entry in current.ended)
-            return Ok(None) if was else Err(mishap("no_listener"))
-        generation = current.generation + 1
-        rows = [row for row in current.rows if (row.name, row.database) != (name, database)]
-        ended = [*current.ended, (name, database, generation, why)][-MOST_ENDED:]
-        return Ok(encode(Listeners(generation, rows, current.feeds, ended)))
+    def change(current: bytes | None) -> bytes | None:
+        value = decode(SubscribersValue, current) or SubscribersValue()
+        if value.find(name, database) is None:
+            if not any(entry[:2] == (name, database) for entry in value.ended):
+                raise SubscriberNotFoundError
+            return None
+        version = value.version + 1
+        rows = [row for row in value.rows if (row.name, row.database) != (name, database)]
+        ended = [*value.ended, (name, database, version, why)][-MAX_ENDED:]
+        return encode(SubscribersValue(version, rows, value.feeds, ended))
 
     return change
 
 
-def turn(row: Row, state: str, missed: int = 0):
-    """The change of a listener's state, if it is still the one that was looked at.
-
-    >>> decode(Listeners, turn(Row("d", "b", "joining", "t", 1), "listening")(subscribe("d", "b", "t")(None).ok()).ok()).rows[0].state
-    'listening'
-    """
+def set_state(subscriber: Subscriber, state: str, missed: int = 0) -> Change:
+    """The change of a subscriber's state, refused if it is another by now."""
 
-    def change(current_bytes):
-        current = decode(Listeners, current_bytes) or Listeners()
-        found = current.find(row.name, row.database)
-        if found is None or (found.since, found.state) != (row.since, row.state):
-            return Err(mishap("stale_match", "the listener has changed meanwhile"))
-        found.state, found.missed = state, missed
-        current.generation += 1
-        return Ok(encode(current))
+    def change(current: bytes | None) -> bytes:
+        value = decode(SubscribersValue, current) or SubscribersValue()
+        found = value.find(subscriber.name, subscriber.database)
+        expected = (subscriber.since, subscriber.state)
+        if found is None or (found.since, found.state) != expected:
+            raise StaleVersionError("the subscriber has changed meanwhile")
+        found.state = state
+        found.missed = missed
+        value.version += 1
+        return encode(value)
 
     return change
 
 
-def mind_listeners(office, now: float) -> None:
-    """As holder of the duty: takes listeners in, one step at a time; ends lapsed ones and forgets the ended."""
-    value = held(office)
-    if not value.feeds or not lease.holds_duty(office, now) or not office.settled(now):
-        return
-    busy = {proposal.key for proposal in office.proposals}
-    for row in value.rows:
-        feed, key = feed_of(office, row.database), FEEDS + row.database
-        if KEY in busy or key in busy:
-            continue
-        if row.state == "joining" and not office.members.unaware(row.since, now):
-            if row.name not in feed.cursors:
-                office.propose(key, join(row.name), now)
-                busy.add(key)
-            else:
-                scribe.say(
-                    "%s listens to %s from item %d on",
-                    row.name,
-                    row.database,
-                    feed.cursors[row.name],
-                )
-                office.propose(KEY, turn(row, "listening"), now)
-                busy.add(KEY)
-        elif row.state == "listening" and row.name in feed.lapsed:
-            scribe.warn(
-                "%s was too slow for %s and missed %d items",
-                row.name,
-                row.database,
-                feed.lapsed[row.name],
-            )
-            office.propose(KEY, turn(row, "lapsed", feed.lapsed[row.name]), now)
-            busy.add(KEY)
-    for database in value.feeds:
-        key, feed = FEEDS + database, feed_of(office, database)
-        gone = [
-            name for name in [*feed.cursors, *feed.lapsed] if value.find(name, database) is None
-        ]
-        if gone and key not in busy:
-            office.propose(key, leave(gone[0]), now)
-
-
-def keys(office) -> list[str]:
-    """The keys of the feeds."""
-    return [FEEDS + database for database in held(office).feeds] if KEY in office.decided else []
+class Subscriptions:
+    """The subscribers and feeds as one controller knows them; as lease holder it moves them on."""
+
+    def __init__(self, core: "ControllerCore"):
+        self._core = core
+
+    def value(self) -> SubscribersValue:
+        """The list as this controller knows it to be committed."""
+        register = self._core.committed.get(SUBSCRIBERS_KEY)
+        found = decode(SubscribersValue, register.value) if register else None
+        return found or SubscribersValue()
+
+    def feed(self, database: str) -> Feed:
+        """A feed as this controller knows it to be committed."""
+        register = self._core.committed.get(FEED_PREFIX + database)
+        return (decode(Feed, register.value) if register else None) or Feed()
+
+    def feed_keys(self) -> list[str]:
+        """The keys of the feeds."""
+        if SUBSCRIBERS_KEY not in self._core.committed:
+            return []
+        return [FEED_PREFIX + database for database in self.value().feeds]
+
+    def on_timer(self, now: float) -> None:
+        """As lease holder: takes subscribers in step by step, ends lapsed ones, forgets ended ones."""
+        core, value = self._core, self.value()
+        if not value.feeds or not core.failover_lease.is_held(now) or not core.in_quorum(now):
+            return
+        busy = {proposal.key for proposal in core.proposals}
+        for subscriber in value.rows:
+            feed_key = FEED_PREFIX + subscriber.database
+            if SUBSCRIBERS_KEY not in busy and feed_key not in busy:
+                busy |= self._advance(subscriber, feed_key, now)
+        for database in value.feeds:
+            feed_key, feed = FEED_PREFIX + database, self.feed(database)
+            ended = [
+                name for name in [*feed.offsets, *feed.lapsed] if value.find(name, database) is None
+            ]
+            if ended and feed_key not in busy:
+                core.propose(feed_key, leave(ended[0]), now)
+
+    def _advance(self, subscriber: Subscriber, feed_key: str, now: float) -> set[str]:
+        """Proposes a subscriber's next step, if one is due; returns the keys that are busy by it."""
+        core, name, database = self._core, subscriber.name, subscriber.database
+        feed = self.feed(database)
+        if subscriber.state == JOINING:
+            if core.members.without_subscribers(subscriber.since, now):
+                return set()
+            if name not in feed.offsets:
+                core.propose(feed_key, join(name), now)
+                return {feed_key}
+            logger.info("%s listens to %s from item %d on", name, database, feed.offsets[name])
+            core.propose(SUBSCRIBERS_KEY, set_state(subscriber, LISTENING), now)
+            return {SUBSCRIBERS_KEY}
+        if subscriber.state == LISTENING and name in feed.lapsed:
+            missed = feed.lapsed[name]
+            logger.warning("%s was too slow for %s and missed %d items", name, database, missed)
+            core.propose(SUBSCRIBERS_KEY, set_state(subscriber, LAPSED, missed), now)
+            return {SUBSCRIBERS_KEY}
+        return set()
--- a/sumacloom/controller/failover/executor.py
+++ b/sumacloom/controller/failover/executor.py
@@ -1,271 +1,329 @@
-"""Runs the commands of plans: texts for backends over a wire of their own, calls to the platform."""
+"""Runs the commands of failover plans: texts for backends, calls to the platform, reads of the registry."""
 
-from typing import NamedTuple
+import logging
+from collections import deque
+from collections.abc import Awaitable, Callable
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import curio
 
-from sumacloom.controller.failover import lease, lease_confirmation
+from sumacloom.controller.failover import lease_confirmation
+from sumacloom.controller.failover.lease_confirmation import HeldLease
 from sumacloom.controller.failover.plans import (
-    Announce,
-    Ask,
-    Fence,
-    Look,
+    AnnouncePrimary,
+    BackendQuery,
+    BackendStatus,
+    Command,
+    ListBackends,
+    Plan,
     Promote,
-    Rest,
-    Row,
-    read_row,
+    RaiseFencingToken,
+    Wait,
+    parse_status,
 )
-from sumacloom.controller.registers.values import claim_duty
+from sumacloom.controller.registers import FAILOVER_LEASE_KEY
+from sumacloom.controller.registers.lease import acquire_lease
+from sumacloom.errors import SumacloomError
 from sumacloom.http import call
 from sumacloom.line_protocol import LineSplitter, encode
-from sumacloom.logs import Scribe
 from sumacloom.settings import split_address
-from sumacloom.transport.link import dial
-from sumacloom.transport.messages import Pending
+from sumacloom.transport.link import RECEIVE_BYTES, dial
+from sumacloom.transport.messages import PrimaryPending
 
-scribe = Scribe("failover")
-ASK_CUTOFF_S = 0.7
-PROBE_CUTOFF_S = 0.3
-OTHERS_S = 0.15  # how long the rest of a batch is waited for once one has answered
-PROMOTE_CUTOFF_S = 1.2
-STOOD_STILL_S = 0.6
+if TYPE_CHECKING:
+    from sumacloom.controller.process import ControllerProcess
 
-RUNNERS = {}
+logger = logging.getLogger(__name__)
 
+QUERY_TIMEOUT_S = 0.7
+PROBE_TIMEOUT_S = 0.3
+OTHERS_S = 0.15  # how long the rest of a batch is waited for once one backend has answered
+PROMOTE_TIMEOUT_S = 1.2
+BATCH_POLL_S = 0.01
+NEVER = -1e9
 
-class Doubted(NamedTuple):
-    """A call for a service that may yet land: its fence, and until when.
+# results of a query besides a status and a backend's own error code
+READY, REFUSED, RESET, WRONG_HOST = "READY", "REFUSED", "RESET", "WRONGHOST"
 
-    >>> Doubted(3, 1.5).fence
-    3
-    """
-
-    fence: int
-    until: float
 
+class UnclearCall(NamedTuple):
+    """A call to the platform that may yet take effect: its token, and until when."""
 
-def stood_still(shell, since: float) -> bool:
-    """Whether this process was frozen at some point since: the duty, and all that was heard, may be out of date."""
-    return shell.stood_still_at >= since or shell.now() - shell.ticked_at > STOOD_STILL_S
+    fencing_token: int
+    until: float
 
 
-def note_tick(shell, now: float) -> None:
-    """The clock ticks; a long gap since the last tick is remembered as a standstill."""
-    if now - shell.ticked_at > STOOD_STILL_S:
-        shell.stood_still_at = now
-    shell.ticked_at = now
+class LeaseNotConfirmedError(ConnectionAbortedError):
+    """No quorum confirmed the lease in time: the call never leaves."""
 
 
-def runs(kind):
-    """Registers what runs commands of a kind.
+class CommandExecutor:
+    """Runs commands and whole plans.
 
-    >>> Ask in RUNNERS
-    True
+    Attributes:
+        unclear_calls: services for which a promotion may yet take effect.
+        platform_calls: when the last calls to the platform left.
     """
 
-    def register(function):
-        RUNNERS[kind] = function
-        return function
-
-    return register
-
-
-@runs(Ask)
-async def run_ask(
-    shell, command: Ask, _holding=None, cutoff_s: float = ASK_CUTOFF_S
-) -> Row | str | None:
-    """One text for one backend: its row, an error code, REFUSED if nothing listens there, or None for silence."""
-    address, started = split_address(command.backend.address), shell.now()
-    try:
-        async with curio.timeout_after(cutoff_s):
-            sock = await dial(*address)
-            async with sock:
-                splitter = LineSplitter()
-                await sock.sendall(
-                    encode(
-                        f"LOGIN {command.backend.service} {shell.settings.node} {command.backend.name}"
-                    )
-                )
-                line = (await read_lines(sock, splitter, ("READY", "ERR")))[-1]
-                if line.startswith("ERR"):
-                    return line.split(" ")[1]
-                if not command.text:
-                    return "READY"
-                if shell.now() - started > cutoff_s:
-                    return None  # we stood still: what the plan meant to say may be out of date
-                await sock.sendall(encode(f"QUERY - {command.text}"))
-                lines = await read_lines(sock, splitter, ("DONE", "ERR"))
-                await sock.sendall(encode("QUIT"))
-    except ConnectionRefusedError:
-        return "REFUSED"
-    except ConnectionResetError:
-        return "RESET"  # it took the connection before it ended it: crowded, not dead
-    except (OSError, curio.TaskTimeout, IndexError):
-        return None
-    if lines[-1].startswith("ERR"):
-        return lines[-1].split(" ")[1]
-    rows = [read_row(line[4:]) for line in lines if line.startswith("ROW ")]
-    return rows[0] if rows else None
-
-
-async def read_lines(sock, splitter: LineSplitter, ends: tuple) -> list[str]:
-    """Reads lines up to one that starts with a word of `ends`."""
-    lines = []
-    while not any(line.split(" ")[0] in ends for line in lines):
-        data = await sock.recv(65536)
-        if not data:
-            raise OSError("the backend closed the wire")
-        lines += splitter.feed(data)
-    return [line for line in lines if line.split(" ")[0] in (*ends, "ROW")]
-
-
-@runs(Promote)
-async def run_promote(shell, command: Promote, holding: lease_confirmation.Holding) -> int | None:
-    """Tells the platform which backend takes over; the status, 0 for silence, None if the call never left.
+    def __init__(self, process: "ControllerProcess"):
+        self._process = process
+        self.unclear_calls: dict[str, UnclearCall] = {}
+        self.platform_calls: deque[float] = deque()
+        self._runners: dict[type, Callable[..., Awaitable[Any]]] = {
+            BackendQuery: self.query_backend,
+            Promote: self.promote,
+            AnnouncePrimary: self.announce_primary,
+            RaiseFencingToken: self.raise_fencing_token,
+            ListBackends: self.list_backends,
+            Wait: self.wait,
+        }
+
+    # ------------------------------------------------------------ plans
+    async def run_plan(self, plan: Plan, held_lease: HeldLease) -> str | None:
+        """Walks a plan to its end; returns what it returns.
+
+        Returns None where it was given up: the lease is lost, or this process was stalled meanwhile.
+        """
+        process, started_at = self._process, self._process.now()
+        try:
+            commands = next(plan)
+            while True:
+                now = process.now()
+                stalled = process.stalls.stalled_since(started_at, now)
+                if stalled or not process.core.failover_lease.is_held(now):
+                    plan.close()
+                    return None
+                commands = plan.send(await self.run_batch(commands, held_lease))
+        except StopIteration as end:
+            return end.value
+
+    async def run_batch(self, commands: list[Command], held_lease: HeldLease) -> dict[Any, Any]:
+        """Runs commands side by side; returns the result of each.
+
+        Once a backend has answered, silent ones are waited for a little only, but for patient queries.
+        """
+        results: dict[Any, Any] = dict.fromkeys(commands)
+        tasks = {
+            command: await curio.spawn(self._runners[type(command)], command, held_lease)
+            for command in commands
+        }
+        answered_at: float | None = None
+        while any(not task.terminated for task in tasks.values()):
+            now = self._process.now()
+            if answered_at is None and any(_has_status(task) for task in tasks.values()):
+                answered_at = now
+            patient = any(
+                not task.terminated
+                for command, task in tasks.items()
+                if isinstance(command, BackendQuery) and command.patient
+            )
+            if not patient and answered_at is not None and now - answered_at >= OTHERS_S:
+                break
+            await curio.sleep(BATCH_POLL_S)
+        for command, task in tasks.items():
+            if task.terminated:
+                results[command] = await task.join()
+            else:
+                await task.cancel()
+        return results
+
+    # ------------------------------------------------------------ backends
+    async def query_backend(
+        self,
+        command: BackendQuery,
+        _held_lease: HeldLease | None = None,
+        timeout_s: float = QUERY_TIMEOUT_S,
+    ) -> BackendStatus | str | None:
+        """Sends one text to one backend.
+
+        Returns:
+            Its status, an error code, READY if there was no text, REFUSED if nothing listens there, RESET
+            if it ended the connection (too many of them, but not dead), or None for silence.
+        """
+        started_at = self._process.now()
+        try:
+            async with curio.timeout_after(timeout_s):
+                sock = await dial(*split_address(command.backend.address))
+                async with sock:
+                    return await self._exchange(sock, command, started_at + timeout_s)
+        except ConnectionRefusedError:
+            return REFUSED
+        except ConnectionResetError:
+            return RESET
+        except (OSError, curio.TaskTimeout, IndexError):
+            return None
+
+    async def _exchange(
+        self, sock: Any, command: BackendQuery, deadline: float
+    ) -> BackendStatus | str | None:
+        backend, splitter = command.backend, LineSplitter()
+        login = f"LOGIN {backend.service} {self._process.settings.node} {backend.name}"
+        await sock.sendall(encode(login))
+        line = (await _read_lines(sock, splitter, ("READY", "ERR")))[-1]
+        if line.startswith("ERR"):
+            return line.split(" ")[1]
+        if not command.text:
+            return READY
+        if self._process.now() > deadline:
+            return None  # this process was stalled: what the plan meant to say may be out of date
+        await sock.sendall(encode(f"QUERY - {command.text}"))
+        lines = await _read_lines(sock, splitter, ("DONE", "ERR"))
+        await sock.sendall(encode("QUIT"))
+        if lines[-1].startswith("ERR"):
+            return lines[-1].split(" ")[1]
+        rows = [line.removeprefix("ROW ") for line in lines if line.startswith("ROW ")]
+        return parse_status(rows[0]) if rows else None
+
+    async def list_backends(
+        self, command: ListBackends, _held_lease: HeldLease | None = None
+    ) -> set[str]:
+        """The replicas of a service that are there now."""
+        return {
+            record.name
+            for record in self._process.core.cache.records.values()
+            if record.service == command.service and not record.is_gone and not record.is_primary
+        }
+
+    # ------------------------------------------------------------ platform
+    async def promote(self, command: Promote, held_lease: HeldLease) -> int | None:
+        """Tells the platform which backend takes over.
+
+        The lease is read at a quorum while the connection is made, unless the plan began by a young read.
+        How old that read is, and that the lease is still the plan's, is checked once both are there, and
+        nothing waits between that check and the call. From the moment it leaves the call counts as one that
+        may yet take effect, until a clear answer is read: also where the plan ends meanwhile. The next plan
+        then begins with a higher token than that call's.
+
+        Returns:
+            The HTTP status, 0 for silence, or None if the call never left.
+        """
+        process, service = self._process, command.service
+        headers = (
+            ("X-Holder", process.settings.node),
+            ("X-Fence", str(held_lease.value.fencing_token)),
+        )
+        body = b'{"svc":"%s","id":"%s"}' % (service.encode(), command.backend.encode())
+        sent: list[
+            UnclearCall | None
+        ] = []  # the unclear call before this one, once this one leaves
+
+        async def dial_confirmed(host: str, port: int) -> Any:
+            sock = await self._dial_confirmed(host, port, held_lease)
+            sent.append(self.unclear_calls.get(service))
+            self.unclear_calls[service] = UnclearCall(
+                held_lease.value.fencing_token, process.now() + lease_confirmation.FLIGHT_S
+            )
+            return sock
+
+        await self._respect_rate()
+        address = split_address(process.settings.cloud.addr)
+        response = await call(
+            dial_confirmed, address, "POST", "/promote", body, headers, PROMOTE_TIMEOUT_S
+        )
+        if not sent:
+            logger.info(
+                "no promotion of %s for %s: no connection, or the lease is not confirmed",
+                command.backend,
+                service,
+            )
+            return None
+        if 200 <= response.status < 300:
+            self.unclear_calls.pop(service, None)
+            if sent[0] is not None:  # an earlier call is not answered by this one
+                self.unclear_calls[service] = sent[0]
+        logger.info(
+            "the platform answered %d to the promotion of %s for %s",
+            response.status,
+            command.backend,
+            service,
+        )
+        return response.status
 
-    The duty is read at a majority while the connection is made, unless the plan began by a young reading; how old that reading is, and that the duty is still the
-    plan's, is looked at once both are there, and nothing waits between that look and the call.
-    From the moment it leaves the call counts as one that may yet land, until a clear answer is read: also where the
-    plan ends meanwhile. The next plan then begins with a higher fence than that call's.
-    """
-    address = split_address(shell.settings.cloud.addr)
-    headers = (("X-Holder", shell.settings.node), ("X-Fence", str(holding.duty.fence)))
-    body = b'{"svc":"%s","id":"%s"}' % (command.service.encode(), command.backend.encode())
-    left = []
+    async def _dial_confirmed(self, host: str, port: int, held_lease: HeldLease) -> Any:
+        """Dials the platform while the lease is read at a quorum.
 
-    async def dial_confirmed(host: str, port: int):
-        asking = await curio.spawn(lease_confirmation.ask, shell, holding, daemon=True)
+        Raises:
+            LeaseNotConfirmedError: the lease is not ours any more, or no quorum says so in time.
+            OSError: there is no connection.
+        """
+        process = self._process
+        reading = await curio.spawn(lease_confirmation.read_lease, process, held_lease, daemon=True)
         try:
             sock = await dial(host, port)
         except BaseException:
-            await asking.cancel()
+            await reading.cancel()
             raise
         try:
-            if await lease_confirmation.confirm(shell, holding, await asking.join()):
-                left.append(shell.doubts.get(command.service))
-                shell.doubts[command.service] = Doubted(
-                    holding.duty.fence, shell.now() + lease_confirmation.FLIGHT_S
-                )
+            if await lease_confirmation.confirm(process, held_lease, await reading.join()):
                 return sock
         except BaseException:
             await sock.close()
             raise
         await sock.close()
-        raise ConnectionAbortedError("the duty is not confirmed")
-
-    pause = lease_confirmation.pause_of(
-        shell.platform_calls, shell.settings.cloud.duty_per_s, shell.now()
-    )
-    shell.platform_calls.append(shell.now() + pause)
-    if pause:
-        await curio.sleep(pause)
-    status, _headers, _body = await call(
-        dial_confirmed, address, "POST", "/promote", body, headers, PROMOTE_CUTOFF_S
-    )
-    if 200 <= status < 300:
-        shell.doubts.pop(command.service, None)
-        shell.doubts.update({command.service: before for before in left if before})
-    if not left:
-        scribe.say(
-            "no promotion of %s for %s: no connection, or the duty is not confirmed",
-            command.backend,
-            command.service,
+        raise LeaseNotConfirmedError("the lease is not confirmed")
+
+    async def _respect_rate(self) -> None:
+        """Waits until the platform's rate allows one more call."""
+        process = self._process
+        rate = process.settings.cloud.duty_per_s
+        delay = lease_confirmation.delay_before_call(self.platform_calls, rate, process.now())
+        self.platform_calls.append(process.now() + delay)
+        if delay:
+            await curio.sleep(delay)
+
+    # ------------------------------------------------------------ the fleet
+    async def announce_primary(
+        self, command: AnnouncePrimary, _held_lease: HeldLease | None = None
+    ) -> None:
+        """Tells all poolers, by way of their controllers."""
+        pending = PrimaryPending(command.service, command.seconds)
+        self._process.announce(pending)
+        self._process.core.broadcast(pending)
+        await self._process.flush()
+
+    async def raise_fencing_token(self, command: RaiseFencingToken, held_lease: HeldLease) -> bool:
+        """Renews the lease with a higher token, unless ours is above the unclear call's already.
+
+        Where the platform checks no tokens, waits until that call can't take effect any more.
+        """
+        process, lease = self._process, self._process.core.failover_lease
+        unclear = self.unclear_calls.get(
+            command.service, UnclearCall(held_lease.value.fencing_token, NEVER)
         )
-        return None
-    scribe.say(
-        "the platform answered %d to the promotion of %s for %s",
-        status,
-        command.backend,
-        command.service,
-    )
-    return status
-
-
-@runs(Announce)
-async def run_announce(shell, command: Announce, _holding=None) -> None:
-    """Word to all counters, by way of their registrars."""
-    shell.announce(Pending(command.service, command.seconds))
-    shell.office.tell_all(Pending(command.service, command.seconds))
-    await shell.act()
-
-
-@runs(Fence)
-async def run_fence(shell, command: Fence, holding: lease_confirmation.Holding) -> bool:
-    """The duty anew, the same holder with a higher fence, unless our fence is above the unclear call's already.
-
-    Where the platform checks no fences, waits until that call can't land any more.
-    """
-    office = shell.office
-    doubt = shell.doubts.get(command.service, Doubted(holding.duty.fence, -1e9))
-    if not shell.settings.bounds.fencing and doubt.until > shell.now():
-        await curio.sleep(doubt.until - shell.now())
-    if lease.is_ours(office) and office.duty.fence <= doubt.fence:
-        await shell.decide(lease.DUTY, claim_duty(office.me, office.nonce, office.duty))
-    # whatever the answer was: what counts is which fence of ours is decided now
-    if not lease.is_ours(office) or office.duty.fence <= doubt.fence:
-        return False
-    holding.move_on(office.duty)
-    return True
-
-
-@runs(Look)
-async def run_look(shell, command: Look, _holding=None) -> set:
-    """Who is there now."""
-    return {
-        record.name
-        for record in shell.office.board.records.values()
-        if record.service == command.service and record.phase != "gone" and record.role != "primary"
-    }
-
-
-@runs(Rest)
-async def run_rest(shell, command: Rest, _holding=None) -> None:
-    """A pause."""
-    await curio.sleep(command.seconds)
-
-
-async def run_batch(shell, commands: list, holding: lease_confirmation.Holding) -> dict:
-    """Runs commands side by side; gives each one's outcome.
-
-    Once a backend has answered, the silent ones are waited for a little only, but for patient commands.
-    """
-    outcomes = dict.fromkeys(commands)
-
-    tasks = {
-        command: await curio.spawn(RUNNERS[type(command)], shell, command, holding)
-        for command in commands
-    }
-    first_at = None
-    while any(not task.terminated for task in tasks.values()):
-        if first_at is None and any(
-            task.terminated and isinstance(task.result, Row) for task in tasks.values()
-        ):
-            first_at = shell.now()
-        patient = any(
-            not task.terminated
-            for command, task in tasks.items()
-            if isinstance(command, Ask) and command.patient
-        )
-        if not patient and first_at is not None and shell.now() - first_at >= OTHERS_S:
-            break
-        await curio.sleep(0.01)
-    for command, task in tasks.items():
-        if task.terminated:
-            outcomes[command] = await task.join()
-        else:
-            await task.cancel()
-    return outcomes
-
-
-async def run_plan(shell, plan, holding: lease_confirmation.Holding):
-    """Walks a plan to its end; gives what it returns. Stops if the duty is lost, or if we stood still meanwhile."""
-    began_at = shell.now()
-    try:
-        commands = next(plan)
-        while True:
-            if stood_still(shell, began_at) or not lease.holds_duty(shell.office, shell.now()):
-                plan.close()
-                return None
-            commands = plan.send(await run_batch(shell, commands, holding))
-    except StopIteration as end:
-        return end.value
+        if not process.settings.bounds.fencing and unclear.until > process.now():
+            await curio.sleep(unclear.until - process.now())
+        if lease.is_own() and not self._has_higher_token(unclear):
+            core = process.core
+            renewal = acquire_lease(core.me, core.nonce, lease.value)
+            try:
+                await process.commit(FAILOVER_LEASE_KEY, renewal)
+            except SumacloomError as error:
+                logger.info("raising the fencing token: %s", error.message)
+        # whatever the outcome was: what counts is which token of ours is committed now
+        if lease.value is None or not lease.is_own() or not self._has_higher_token(unclear):
+            return False
+        held_lease.renew(lease.value)
+        return True
+
+    def _has_higher_token(self, unclear: UnclearCall) -> bool:
+        value = self._process.core.failover_lease.value
+        return value is not None and value.fencing_token > unclear.fencing_token
+
+    async def wait(self, command: Wait, _held_lease: HeldLease | None = None) -> None:
+        """Pauses."""
+        await curio.sleep(command.seconds)
+
+
+def _has_status(task: Any) -> bool:
+    return task.terminated and isinstance(task.result, BackendStatus)
+
+
+async def _read_lines(sock: Any, splitter: LineSplitter, ends: tuple[str, ...]) -> list[str]:
+    """Reads lines up to one that starts with a word of `ends`; returns those and the rows."""
+    lines: list[str] = []
+    while not any(line.split(" ")[0] in ends for line in lines):
+        data = await sock.recv(RECEIVE_BYTES)
+        if not data:
+            raise OSError("the backend closed the connection")
+        lines += splitter.feed(data)
+    return [line for line in lines if line.split(" ")[0] in (*ends, "ROW")]
--- a/sumacloom/controller/failover/lease.py
+++ b/sumacloom/controller/failover/lease.py
@@ -1,79 +1,105 @@
-"""The failover duty: won by ballots on its register when it falls vacant."""
-
-from sumacloom.controller.registers.values import DutyValue, claim_duty, decode, encode
-from sumacloom.errors import Err, Ok, mishap
-from sumacloom.logs import Scribe
-
-scribe = Scribe("duties")
-DUTY = "duty/failover"
-WARM_UP_S = 1.1
-STAGGER_S = 0.3
-
-
-def vacant(office, now: float) -> bool:
-    """Whether the duty has nobody: no holder yet, an earlier life of ours, or one a majority can't hear."""
-    duty, configuration = office.duty, office.acceptor.configuration
-    living = [peer for peer in configuration.members if office.alive(peer, now)]
-    if not configuration.has_quorum(living) or now - office.started_at < WARM_UP_S:
-        return False
-    if duty is None or not duty.holder:
-        return True
-    if duty.holder == office.me:
-        return duty.nonce != office.nonce
-    if duty.holder not in configuration.members:
-        return True
-    if office.alive(duty.holder, now):
-        return False
-    deaf = [
-        peer
-        for peer in living
-        if peer == office.me or duty.holder not in office.peers[peer][1].hears
-    ]
-    return configuration.has_quorum(deaf)
-
-
-def mind_duty(office, now: float) -> None:
-    """Stands for the duty when it falls vacant, the registrars one after the other."""
-    if not vacant(office, now) or now < office.unfit_until:
-        office.duty_vacant_since = None
-        return
-    if office.duty_vacant_since is None:
-        office.duty_vacant_since = now
-    holder = office.duty.holder if office.duty else ""
-    line = [
-        peer
-        for peer in office.acceptor.configuration.members
-        if office.alive(peer, now) and peer != holder
-    ]
-    place = 0 if holder == office.me else line.index(office.me)
-    busy = any(proposal.key == DUTY for proposal in office.proposals)
-    if not busy and now - office.duty_vacant_since >= STAGGER_S * place:
-        office.propose(DUTY, claim_duty(office.me, office.nonce, office.duty), now)
-
-
-def is_ours(office) -> bool:
-    """Whether this life of this registrar is the holder, as far as it knows."""
-    return (
-        office.duty is not None
-        and office.duty.holder == office.me
-        and office.duty.nonce == office.nonce
-    )
-
-
-def holds_duty(office, now: float) -> bool:
-    """Whether this registrar may act; any doubt says no."""
-    return is_ours(office) and office.votes and office.heard_majority(now)
-
-
-def give_up_duty(office, now: float, rest_s: float = 6.0) -> None:
-    """Lays the duty down because the platform can't be reached from here."""
-    mine = office.duty
-    office.unfit_until = now + rest_s
-    scribe.warn("the platform can't be reached from here: laying the failover duty down")
-
-    def change(current):
-        if decode(DutyValue, current) != mine:
-            return Err(mishap("stale_match"))
-        return Ok(encode(DutyValue("", mine.fence, 0)))
-
-    office.propose(DUTY, change, now)
+"""The failover lease: one controller at a time replaces primaries; it is taken when it falls vacant."""
+
+import logging
+from typing import TYPE_CHECKING
+
+from sumacloom.controller.registers import FAILOVER_LEASE_KEY
+from sumacloom.controller.registers.lease import LeaseValue, acquire_lease, release_lease
+
+if TYPE_CHECKING:
+    from sumacloom.controller.core import ControllerCore
+
+logger = logging.getLogger(__name__)
+
+WARM_UP_S = 1.1  # after a start, the time in which a living holder is heard
+STAGGER_S = 0.3  # how much later the next controller in line stands for the lease
+RELEASE_REST_S = 6.0
+NEVER = -1e9
+
+
+class FailoverLease:
+    """The lease as one controller knows it.
+
+    Attributes:
+        value: the committed value; None before the first holder.
+        held_since: when this holding began here.
+        previous_holder: who held it before.
+        not_before: this controller doesn't stand for the lease before that moment.
+    """
+
+    def __init__(self, core: "ControllerCore", now: float):
+        self._core = core
+        self.value: LeaseValue | None = None
+        self.held_since = now
+        self.previous_holder = ""
+        self.not_before = NEVER
+        self._vacant_since: float | None = None
+
+    def apply(self, value: LeaseValue, now: float) -> None:
+        """The lease was committed anew."""
+        before = self.value
+        if before is not None and value.fencing_token < before.fencing_token:
+            return
+        if value != before:
+            holder = value.holder or "nobody"
+            logger.info("the failover lease is with %s, token %d", holder, value.fencing_token)
+        if before is None or (value.holder, value.nonce) != (before.holder, before.nonce):
+            self.held_since = now
+            self.previous_holder = before.holder if before else ""
+        self.value = value
+
+    def is_vacant(self, now: float) -> bool:
+        """Whether nobody holds it: no holder yet, an earlier incarnation of ours, one no quorum hears."""
+        core, value, quorum = self._core, self.value, self._core.acceptor.quorum
+        reachable = core.reconfiguration.reachable(now)
+        if not quorum.has_quorum(reachable) or now - core.started_at < WARM_UP_S:
+            return False
+        if value is None or not value.holder:
+            return True
+        if value.holder == core.me:
+            return value.nonce != core.nonce
+        if value.holder not in quorum.members:
+            return True
+        if core.is_alive(value.holder, now):
+            return False
+        unaware = [
+            peer
+            for peer in reachable
+            if peer == core.me or value.holder not in core.peers[peer].heartbeat.heartbeats_received
+        ]
+        return quorum.has_quorum(unaware)
+
+    def on_timer(self, now: float) -> None:
+        """Stands for the lease when it falls vacant, the controllers one after the other."""
+        if not self.is_vacant(now) or now < self.not_before:
+            self._vacant_since = None
+            return
+        if self._vacant_since is None:
+            self._vacant_since = now
+        core = self._core
+        busy = core.is_busy(FAILOVER_LEASE_KEY)
+        if not busy and now - self._vacant_since >= STAGGER_S * self._place_in_line(now):
+            core.propose(FAILOVER_LEASE_KEY, acquire_lease(core.me, core.nonce, self.value), now)
+
+    def _place_in_line(self, now: float) -> int:
+        holder = self.value.holder if self.value else ""
+        if holder == self._core.me:
+            return 0
+        line = [peer for peer in self._core.reconfiguration.reachable(now) if peer != holder]
+        return line.index(self._core.me)
+
+    def is_own(self) -> bool:
+        """Whether this incarnation of this controller is the holder, as far as it knows."""
+        value, core = self.value, self._core
+        return value is not None and (value.holder, value.nonce) == (core.me, core.nonce)
+
+    def is_held(self, now: float) -> bool:
+        """Whether this controller may act as the holder; any doubt says no."""
+        return self.is_own() and self._core.is_voter and self._core.has_quorum_contact(now)
+
+    def release(self, now: float, rest_s: float = RELEASE_REST_S) -> None:
+        """Gives the lease up because the platform can't be reached from here."""
+        assert self.value is not None  # only a holder gives it up
+        self.not_before = now + rest_s
+        logger.warning("the platform can't be reached from here: releasing the failover lease")
+        self._core.propose(FAILOVER_LEASE_KEY, release_lease(self.value), now)
--- a/sumacloom/controller/failover/plans.py
+++ b/sumacloom/controller/failover/plans.py
@@ -1,358 +1,419 @@
-"""Replacing a primary: plans as generators that yield batches of commands and are sent their results.
+"""Failover plans: generators that yield batches of commands and are sent their results.
 
-A plan touches no socket: it yields a list of commands (Ask, Promote, Announce, Fence, ...) and receives a dict
-from command to outcome. So every schedule of lost answers can be played as a table.
+A plan touches no socket: it yields a list of commands and receives a dict from command to result. So
+every schedule of lost replies can be played as a table. Each plan returns the name of the backend that is
+the primary now, or "" if it changed nothing.
 """
 
-from typing import NamedTuple
+from collections.abc import Callable, Generator, Mapping
+from typing import Any, NamedTuple
 
-from sumacloom.transport.updates import Record
-from sumacloom.types import Position, read_position
+from sumacloom.transport.updates import BackendRecord
+from sumacloom.types import Position, parse_position
 
-CATCH_UP_TRIES = 20
-SOON_S = 2.0
-LEAD_TRIES = 40
-MOST_BEHIND, MOST_LAG_MS = 300, 1000.0  # further back, a replica would not catch up in time
+CATCH_UP_ATTEMPTS = 20
+PENDING_S = 2.0  # how long poolers hold statements for a new primary
+PRIMARY_ATTEMPTS = 40
+MAX_BEHIND, MAX_LAG_MS = 300, 1000.0  # further back, a replica would not catch up in time
+CATCH_UP_POLL_S = 0.02
+PRIMARY_POLL_S = 0.1
+RETRY_S = 0.2
+STATUS_FIELDS = 7
+RETRYABLE_STATUSES = (408, 429)
 
+# names of plans, as logs and the admin API show them
+FAIL_OVER, SWITCH_OVER, RELEASE_REPLICAS = "replace_dead", "hand_over", "look_over"
 
-class Ask(NamedTuple):
-    """A text for a backend; its outcome is a Row, an error code, or None for silence."""
 
-    backend: Record
+class BackendQuery(NamedTuple):
+    """A text for a backend; its result is a BackendStatus, an error code, or None for silence."""
+
+    backend: BackendRecord
     text: str
-    patient: bool = False  # whether a batch waits for its silent backends to the cutoff
+    patient: bool = False  # whether the batch waits for a silent backend to the timeout
 
 
 class Promote(NamedTuple):
-    """A call to the platform; its outcome is the HTTP status, 0 for silence, or None if it never left."""
+    """A call to the platform; its result is the HTTP status, 0 for silence, or None if it never left."""
 
     service: str
     backend: str
 
 
-class Rest(NamedTuple):
+class Wait(NamedTuple):
     """A pause in seconds."""
 
     seconds: float
 
 
-class Announce(NamedTuple):
-    """Tells every counter that a new lead is on its way."""
+class AnnouncePrimary(NamedTuple):
+    """Tells every pooler that a new primary is on its way."""
 
     service: str
     seconds: float
 
 
-class Fence(NamedTuple):
-    """Sees to a fence above that of an earlier unclear call; its outcome is whether that is decided."""
+class RaiseFencingToken(NamedTuple):
+    """Asks for a token above that of an earlier unclear call; its result is whether that is committed."""
 
     service: str
 
 
-class Look(NamedTuple):
-    """Looks at the roster; its outcome is the set of names of the service's backends that are there."""
+class ListBackends(NamedTuple):
+    """Asks the registry; its result is the set of names of the service's replicas that are there."""
 
     service: str
 
 
-class Row(NamedTuple):
+Command = BackendQuery | Promote | Wait | AnnouncePrimary | RaiseFencingToken | ListBackends
+Results = Mapping[Any, Any]
+Plan = Generator[list[Command], Results, str]
+
+
+class BackendStatus(NamedTuple):
     """The row that STAT, PAUSE, CONT and STEPDOWN answer with.
 
-    >>> read_row("replica 3 3.1209 0 12 2 17").position
+    >>> parse_status("replica 3 3.1209 0 12 2 17").position
     Position(term=3, number=1209)
     """
 
     role: str
     term: int
     position: Position
-    held: int
+    paused_term: int
     lag_ms: float
 
+    @property
+    def is_primary(self) -> bool:
+        """Whether the backend says that it is the primary."""
+        return self.role == "primary"
 
-def read_row(text: str) -> Row | None:
-    """Reads the row; None if it is something else.
 
-    >>> read_row("nonsense") is None
-    True
-    """
-    words = text.split()
-    position = read_position(words[2]) if len(words) >= 7 else None
-    if position is None or not words[1].isdigit():
-        return None
-    held = int(words[3]) if words[3].isdigit() else 0
-    lag = float(words[4]) if words[4].replace(".", "", 1).isdigit() else 0.0
-    return Row(words[0], int(words[1]), position, held, lag)
+Statuses = dict[BackendRecord, BackendStatus]
 
 
-def rows_of(results: dict) -> dict[Record, Row]:
-    """The backends that answered with a row.
+class SelectedPlan(NamedTuple):
+    """A plan and its name."""
 
-    >>> rows_of({})
-    {}
-    """
-    return {
-        ask.backend: row
-        for ask, row in results.items()
-        if isinstance(ask, Ask) and isinstance(row, Row)
-    }
+    name: str
+    plan: Plan
 
 
-def best_of(rows: dict[Record, Row]) -> Record:
-    """The backend with the furthest log; among equals the one that lags least.
+def parse_status(text: str) -> BackendStatus | None:
+    """Parses the row; None if it is something else.
 
-    >>> best_of({Record("i", "s", "a", "z"): read_row("replica 3 3.1 0 0 0 0")}).name
-    'i'
+    >>> parse_status("nonsense") is None
+    True
     """
-    return max(rows, key=lambda record: (rows[record].position, -rows[record].lag_ms, record.name))
+    words = text.split()
+    if len(words) < STATUS_FIELDS or not words[1].isdigit():
+        return None
+    position = parse_position(words[2])
+    if position is None:
+        return None
+    paused_term = int(words[3]) if words[3].isdigit() else 0
+    lag_ms = float(words[4]) if words[4].replace(".", "", 1).isdigit() else 0.0
+    return BackendStatus(words[0], int(words[1]), position, paused_term, lag_ms)
 
 
-def promote(service: str, target: Record):
-    """Calls the platform: True if it says that the backend leads, False if it says no, None if unclear or not sent.
+def statuses_of(results: Results) -> Statuses:
+    """The backends that answered with a status."""
+    return {
+        command.backend: result
+        for command, result in results.items()
+        if isinstance(command, BackendQuery) and isinstance(result, BackendStatus)
+    }
 
-    >>> plan = promote("s", Record("i", "s", "a", "z")); next(plan)
-    [Promote(service='s', backend='i')]
-    """
-    command = Promote(service, target.name)
-    status = (yield [command])[command]
-    if status is None:
-        return None
-    if 200 <= status < 300:
-        yield [Announce(service, SOON_S)]
-        return True
-    return False if 400 <= status < 500 and status not in (408, 429) else None
 
+def most_advanced(statuses: Statuses) -> BackendRecord:
+    """The backend with the furthest log; among equals the one that lags least."""
 
-def replace_dead(
-    service: str,
-    dead: Record | None,
-    replicas: list[Record],
-    sync_acks: int,
-    doubtful: bool = False,
-):
-    """The primary is dark: freezes the replicas if need be, draws the furthest, promotes it.
+    def rank(backend: BackendRecord) -> tuple[Position, float, str]:
+        status = statuses[backend]
+        return (status.position, -status.lag_ms, backend.name)
 
-    Gives the name of the backend that leads now, or nothing; a promotion that got no clear answer is not
-    tried again here, since the next plan is drawn from a fresh look at the fleet.
+    return max(statuses, key=rank)
 
-    With `syncAcks` nothing may be received between the freeze and the new lead: CONT is sent only once
-    the promoted backend itself says that it leads, and never after an unclear call, which may yet land.
 
-    >>> plan = replace_dead("s", None, [Record("i", "s", "a", "z")], 0)
-    >>> [ask.text for ask in next(plan)]
-    ['STAT']
-    """
-    everyone = replicas + ([dead] if dead else [])
-    if doubtful and not (yield from raise_fence(service)):
-        return ""
-    rows = rows_of(
-        (
-            yield [
-                Ask(backend, "STAT", sync_acks > 0 and backend is not dead) for backend in everyone
-            ]
-        )
-    )
-    leads = leading(rows)
-    if leads:
-        return (yield from confirm(service, leads, rows)) if sync_acks else leads.name
-    newest = max((max(row.term, row.held) for row in rows.values()), default=0)
-    rows = {backend: row for backend, row in rows.items() if backend in replicas}
-    if not rows:
-        return ""
-    if sync_acks:
-        rows = rows_of((yield [Ask(backend, f"PAUSE {newest + 1}", True) for backend in rows]))
-        rows = {backend: row for backend, row in rows.items() if row.held > newest}
-        look = Look(service)
-        there = (yield [look])[look]
-        if (
-            not rows
-            or len(replicas) - len(rows) >= sync_acks
-            or not there <= {backend.name for backend in everyone}
-        ):
-            if not doubtful:
-                yield [Ask(backend, "CONT") for backend in rows] or [Rest(0.2)]
-            return ""
-    target = best_of(rows)
-    done = yield from promote(service, target)
-    if done and sync_acks:
-        yield from release(target, [backend for backend in rows if backend is not target])
-    return target.name if done else ""
+def current_primary(statuses: Statuses) -> BackendRecord | None:
+    """The backend that says it is the primary, if it is of the newest term."""
+    newest = max((status.term for status in statuses.values()), default=0)
+    for backend, status in statuses.items():
+        if status.is_primary and status.term == newest:
+            return backend
+    return None
 
 
-def raise_fence(service: str):
-    """Sees to a higher fence, so that an earlier call still on its way is refused.
+def is_near(status: BackendStatus, primary: BackendStatus) -> bool:
+    """Whether a replica is near enough to its primary to catch up at once.
 
-    >>> next(raise_fence("s"))
-    [Fence(service='s')]
+    >>> is_near(parse_status("replica 3 3.8 0 20 0 0"), parse_status("primary 3 3.9 0 0 0 0"))
+    True
     """
-    command = Fence(service)
-    return (yield [command])[command]
+    behind = primary.position.number - status.position.number
+    same_term = status.position.term == primary.position.term
+    return same_term and behind <= MAX_BEHIND and status.lag_ms <= MAX_LAG_MS
 
 
-def leading(rows: dict[Record, Row]) -> Record | None:
-    """The backend that says it leads, if it is of the newest term.
+# ---------------------------------------------------------------- steps
+def promote(service: str, target: BackendRecord) -> Generator[list[Command], Results, bool | None]:
+    """Calls the platform: True if the backend is the primary now, False if not, None if unclear."""
+    command = Promote(service, target.name)
+    status = (yield [command])[command]
+    if status is None:
+        return None
+    if 200 <= status < 300:
+        yield [AnnouncePrimary(service, PENDING_S)]
+        return True
+    refused = 400 <= status < 500 and status not in RETRYABLE_STATUSES
+    return False if refused else None
 
-    >>> leading({}) is None
-    True
-    """
-    newest = max((row.term for row in rows.values()), default=0)
-    return next(
-        (backend for backend, row in rows.items() if row.role == "primary" and row.term == newest),
-        None,
-    )
 
+def raise_fencing_token(service: str) -> Generator[list[Command], Results, bool]:
+    """Sees to a higher token, so that an earlier call still on its way is refused."""
+    command = RaiseFencingToken(service)
+    return bool((yield [command])[command])
 
-def release(target: Record, others: list[Record]):
-    """Once the promoted backend leads, the replicas may receive again.
 
-    >>> [ask.text for ask in next(release(Record("i", "s", "a", "z"), []))]
-    ['STAT']
-    """
-    for _try in range(LEAD_TRIES):
-        row = rows_of((yield [Ask(target, "STAT")])).get(target)
-        if row and row.role == "primary":
-            yield [Ask(backend, "CONT") for backend in others] or [Rest(0.0)]
+def resume_replicas(
+    target: BackendRecord, others: list[BackendRecord]
+) -> Generator[list[Command], Results, None]:
+    """Once the promoted backend says that it is the primary, the paused replicas may receive again."""
+    resume: list[Command] = [BackendQuery(backend, "CONT") for backend in others]
+    for _attempt in range(PRIMARY_ATTEMPTS):
+        status = statuses_of((yield [BackendQuery(target, "STAT")])).get(target)
+        if status and status.is_primary:
+            yield resume or [Wait(0.0)]
             return
-        yield [Rest(0.1)]
+        yield [Wait(PRIMARY_POLL_S)]
 
 
-def confirm(service: str, leads: Record, rows: dict[Record, Row]):
-    """A backend leads, but replicas are frozen by a plan that did not end: that plan's call is fenced off, then they go on.
+def confirm_primary(service: str, primary: BackendRecord, statuses: Statuses) -> Plan:
+    """There is a primary, but replicas are paused by a plan that did not end: they are resumed.
 
-    >>> plan = confirm("s", Record("i", "s", "a", "z"), {}); next(plan)
-    Traceback (most recent call last):
-    StopIteration: i
+    That plan's call is fenced off first: promoting the present primary changes nothing but the token that
+    the platform has seen.
     """
-    frozen = [backend for backend, row in rows.items() if row.held > rows[leads].term]
-    if frozen:
-        command = Promote(
-            service, leads.name
-        )  # the present primary: nothing changes but the fence seen
-        if not 200 <= ((yield [command])[command] or 0) < 300:
+    term = statuses[primary].term
+    paused = [backend for backend, status in statuses.items() if status.paused_term > term]
+    if paused:
+        command = Promote(service, primary.name)
+        status = (yield [command])[command] or 0
+        if not 200 <= status < 300:
             return ""
-        yield [Ask(backend, "CONT") for backend in frozen]
-    return leads.name
+        yield [BackendQuery(backend, "CONT") for backend in paused]
+    return primary.name
 
 
-def look_over(service: str, everyone: list[Record]):
-    """A new holder, or one with an unclear call behind it, looks at a service whose primary may be well.
-
-    >>> next(look_over("s", []))
-    [Fence(service='s')]
+# ---------------------------------------------------------------- plans
+def fail_over(
+    service: str,
+    dead: BackendRecord | None,
+    replicas: list[BackendRecord],
+    sync_acks: int,
+    unclear: bool = False,
+) -> Plan:
+    """The primary is unreachable: pauses the replicas if need be, promotes the most advanced.
+
+    A promotion that got no clear answer is not repeated here, since the next plan is made from a fresh look.
+
+    With `sync_acks` nothing may be received between the pause and the new primary: CONT is sent only once
+    the promoted backend itself says that it is the primary, and never after an unclear call, which may
+    yet take effect.
+
+    Args:
+        service: the service.
+        dead: its unreachable primary, if it had one.
+        replicas: those that may be promoted.
+        sync_acks: how many replicas must have received a commit before it is answered.
+        unclear: whether an earlier call for this service may yet take effect.
     """
-    if not (yield from raise_fence(service)):
+    everyone = replicas + ([dead] if dead else [])
+    if unclear and not (yield from raise_fencing_token(service)):
         return ""
-    rows = rows_of((yield [Ask(backend, "STAT", True) for backend in everyone]))
-    leads = leading(rows)
-    return (yield from confirm(service, leads, rows)) if leads else ""
+    queries: list[Command] = [
+        BackendQuery(backend, "STAT", sync_acks > 0 and backend is not dead) for backend in everyone
+    ]
+    statuses = statuses_of((yield queries))
+    primary = current_primary(statuses)
+    if primary:
+        if sync_acks:
+            return (yield from confirm_primary(service, primary, statuses))
+        return primary.name
+    newest = max((max(status.term, status.paused_term) for status in statuses.values()), default=0)
+    candidates = {backend: status for backend, status in statuses.items() if backend in replicas}
+    if not candidates:
+        return ""
+    if sync_acks:
+        candidates = yield from _pause(candidates, newest)
+        complete = yield from _is_complete(service, candidates, everyone, replicas, sync_acks)
+        if not complete:
+            if not unclear:
+                yield [BackendQuery(backend, "CONT") for backend in candidates] or [Wait(RETRY_S)]
+            return ""
+    target = most_advanced(candidates)
+    promoted = yield from promote(service, target)
+    if promoted and sync_acks:
+        others = [backend for backend in candidates if backend is not target]
+        yield from resume_replicas(target, others)
+    return target.name if promoted else ""
+
+
+def _pause(statuses: Statuses, term: int) -> Generator[list[Command], Results, Statuses]:
+    """Keeps replicas from receiving; returns those that say so."""
+    queries: list[Command] = [
+        BackendQuery(backend, f"PAUSE {term + 1}", True) for backend in statuses
+    ]
+    paused = statuses_of((yield queries))
+    return {backend: status for backend, status in paused.items() if status.paused_term > term}
 
 
-def hand_over(
-    service: str, leaver: Record, replicas: list[Record], sync_acks: int = 0, doubtful: bool = False
-):
-    """The primary is to go, in order: it steps down, a replica catches up, that one is promoted.
+def _is_complete(
+    service: str,
+    paused: Statuses,
+    everyone: list[BackendRecord],
+    replicas: list[BackendRecord],
+    sync_acks: int,
+) -> Generator[list[Command], Results, bool]:
+    """Whether one of the paused replicas surely holds every commit that was answered."""
+    command = ListBackends(service)
+    present = (yield [command])[command]
+    known = {backend.name for backend in everyone}
+    missing = len(replicas) - len(paused)
+    return bool(paused) and missing < sync_acks and present <= known
+
+
+def release_replicas(service: str, everyone: list[BackendRecord]) -> Plan:
+    """A new lease holder, or one with an unclear call behind it, looks at a service that may be well."""
+    if not (yield from raise_fencing_token(service)):
+        return ""
+    queries: list[Command] = [BackendQuery(backend, "STAT", True) for backend in everyone]
+    statuses = statuses_of((yield queries))
+    primary = current_primary(statuses)
+    if primary is None:
+        return ""
+    return (yield from confirm_primary(service, primary, statuses))
 
-    >>> plan = hand_over("s", Record("p", "s", "a", "z"), [Record("i", "s", "a", "z")])
-    >>> [ask.backend.name for ask in next(plan)]
-    ['i', 'p']
-    """
-    if doubtful and not (yield from raise_fence(service)):
+
+def switch_over(
+    service: str,
+    leaver: BackendRecord,
+    replicas: list[BackendRecord],
+    sync_acks: int = 0,
+    unclear: bool = False,
+) -> Plan:
+    """The primary is to go, in order: it steps down, a replica catches up, that one is promoted."""
+    if unclear and not (yield from raise_fencing_token(service)):
         return ""
-    rows = rows_of((yield [Ask(backend, "STAT", sync_acks > 0) for backend in [*replicas, leaver]]))
-    own = rows.pop(leaver, None)
-    leads = [backend for backend, row in rows.items() if row.role == "primary"]
-    if leads:
-        return leads[0].name
-    if not rows or own is None or (sync_acks and len(rows) < len(replicas)):
+    queries: list[Command] = [
+        BackendQuery(backend, "STAT", sync_acks > 0) for backend in [*replicas, leaver]
+    ]
+    statuses = statuses_of((yield queries))
+    own = statuses.pop(leaver, None)
+    for backend, status in statuses.items():
+        if status.is_primary:
+            return backend.name
+    if not statuses or own is None or (sync_acks and len(statuses) < len(replicas)):
         return ""
-    goal = max(row.position for row in rows.values())
-    if own.role == "primary":
-        if not any(near(row, own) for row in rows.values()):
-            yield [Rest(0.2)]
+    goal = max(status.position for status in statuses.values())
+    if own.is_primary:
+        if not any(is_near(status, own) for status in statuses.values()):
+            yield [Wait(RETRY_S)]
             return ""
-        term = max(row.term for row in [own, *rows.values()]) + 1
-        step = Ask(leaver, f"STEPDOWN {term}")
-        row = (yield [Announce(service, SOON_S), step])[step]
-        if not isinstance(row, Row):
-            yield [Rest(0.1)]
+        stepped_down = yield from _step_down(service, leaver, [own, *statuses.values()])
+        if stepped_down is None:
+            yield [Wait(PRIMARY_POLL_S)]
             return ""
-        goal = row.position
+        goal = stepped_down.position
     else:
         goal = max(goal, own.position)
-    for _try in range(CATCH_UP_TRIES):
-        if any(row.position >= goal for row in rows.values()):
+    statuses = yield from _catch_up(replicas, statuses, goal)
+    ready = {backend: status for backend, status in statuses.items() if status.position >= goal}
+    # if nobody has caught up, the one that stepped down holds everything, and leads on
+    target = most_advanced(ready) if ready else leaver
+    promoted = yield from promote(service, target)
+    return target.name if promoted else ""
+
+
+def _step_down(
+    service: str, leaver: BackendRecord, statuses: list[BackendStatus]
+) -> Generator[list[Command], Results, BackendStatus | None]:
+    """Makes the primary a replica; returns its status after that, None if it gave none."""
+    term = max(status.term for status in statuses) + 1
+    step_down = BackendQuery(leaver, f"STEPDOWN {term}")
+    result = (yield [AnnouncePrimary(service, PENDING_S), step_down])[step_down]
+    return result if isinstance(result, BackendStatus) else None
+
+
+def _catch_up(
+    replicas: list[BackendRecord], statuses: Statuses, goal: Position
+) -> Generator[list[Command], Results, Statuses]:
+    """Waits until some replica has reached a position; returns the newest statuses."""
+    for _attempt in range(CATCH_UP_ATTEMPTS):
+        if any(status.position >= goal for status in statuses.values()):
             break
-        yield [Rest(0.02)]
-        rows = rows_of((yield [Ask(backend, "STAT") for backend in replicas])) or rows
-    ready = {backend: row for backend, row in rows.items() if row.position >= goal}
-    # nobody has caught up: the one that stepped down holds everything, and leads on
-    target = best_of(ready) if ready else leaver
-    done = yield from promote(service, target)
-    return target.name if done else ""
-
-
-def near(row: Row, own: Row) -> bool:
-    """Whether a replica is near enough to its primary to catch up at once.
-
-    >>> near(read_row("replica 3 3.8 0 20 0 0"), read_row("primary 3 3.9 0 0 0 0"))
-    True
+        yield [Wait(CATCH_UP_POLL_S)]
+        queries: list[Command] = [BackendQuery(backend, "STAT") for backend in replicas]
+        statuses = statuses_of((yield queries)) or statuses
+    return statuses
+
+
+# ---------------------------------------------------------------- which plan
+class ServiceView(NamedTuple):
+    """What is known of one service at a moment.
+
+    Attributes:
+        records: its backends.
+        drained_zones: zones whose backends get nothing more.
+        unreachable_since: since when a quorum can't reach a backend, by its name; None if it can.
+        sync_acks: how many replicas must have received a commit before it is answered.
+        unreachable_s: how long a primary must be unreachable before it is replaced.
+        without_primary_since: since when no backend says that it is the primary; None if one does.
+        unclear: whether an earlier call for this service may yet take effect.
     """
-    behind = own.position.number - row.position.number
-    return (
-        row.position.term == own.position.term
-        and behind <= MOST_BEHIND
-        and row.lag_ms <= MOST_LAG_MS
-    )
 
-
-def draw_plan(
-    service: str,
-    records: list[Record],
-    zones: list[str],
-    dark_since,
-    sync_acks: int,
-    now: float,
-    dark_s: float,
-    nobody_since: float | None,
-    doubtful: bool = False,
-):
-    """The plan that a service needs now, if any: (name, plan).
-
-    >>> primary = Record("p", "s", "a", "z", role="primary")
-    >>> draw_plan("s", [primary, Record("i", "s", "a", "z")], [], lambda name: 0.0, 0, 9.0, 0.5, None)[0]
-    'replace_dead'
-    >>> draw_plan("s", [primary, Record("i", "s", "a", "y")], ["z"], lambda name: None, 0, 9.0, 0.5, None)[0]
-    'hand_over'
-    """
-    there = [record for record in records if record.phase != "gone"]
-    primaries = [record for record in there if record.role == "primary"]
-    replicas = [record for record in there if record.role != "primary"]
-    good = [record for record in replicas if record.phase == "up" and record.zone not in zones] or [
-        record for record in replicas if record.phase == "up"
-    ]
+    service: str
+    records: list[BackendRecord]
+    drained_zones: list[str]
+    unreachable_since: Callable[[str], float | None]
+    sync_acks: int
+    unreachable_s: float
+    without_primary_since: float | None
+    unclear: bool = False
+
+
+def select_plan(view: ServiceView, now: float) -> SelectedPlan | None:
+    """The plan that a service needs now, if any."""
+    present = [record for record in view.records if not record.is_gone]
+    primaries = [record for record in present if record.is_primary]
+    replicas = [record for record in present if not record.is_primary]
+    up = [record for record in replicas if record.phase == "up"]
+    elsewhere = [record for record in up if record.zone not in view.drained_zones]
+    good = elsewhere or up
     if not good:
         return None
+    # with sync_acks every replica counts, since any may hold the newest commit
+    candidates = replicas if view.sync_acks else good
+    service, sync_acks, unclear = view.service, view.sync_acks, view.unclear
     if not primaries:
-        if nobody_since is None or now - nobody_since < dark_s:
+        since = view.without_primary_since
+        if since is None or now - since < view.unreachable_s:
             return None
-        return "replace_dead", replace_dead(
-            service, None, replicas if sync_acks else good, sync_acks, doubtful
-        )
-    living = [record for record in primaries if dark_since(record.name) is None]
+        return SelectedPlan(FAIL_OVER, fail_over(service, None, candidates, sync_acks, unclear))
+    living = [record for record in primaries if view.unreachable_since(record.name) is None]
     if not living:
-        since = max(dark_since(record.name) for record in primaries)
-        if now - since < dark_s:
+        times = [view.unreachable_since(record.name) for record in primaries]
+        if now - max(time for time in times if time is not None) < view.unreachable_s:
             return None
-        return "replace_dead", replace_dead(
-            service, primaries[0], replicas if sync_acks else good, sync_acks, doubtful
-        )
+        plan = fail_over(service, primaries[0], candidates, sync_acks, unclear)
+        return SelectedPlan(FAIL_OVER, plan)
     leaver = living[0]
-    elsewhere = [record for record in good if record.zone not in zones]
-    if len(living) == 1 and leaver.phase == "draining" and good:
-        return "hand_over", hand_over(
-            service, leaver, replicas if sync_acks else good, sync_acks, doubtful
-        )
-    if len(living) == 1 and leaver.zone in zones and elsewhere:
-        return "hand_over", hand_over(service, leaver, elsewhere, sync_acks, doubtful)
-    if doubtful and sync_acks:
-        return "look_over", look_over(service, there)
+    if len(living) == 1 and leaver.phase == "draining":
+        plan = switch_over(service, leaver, candidates, sync_acks, unclear)
+        return SelectedPlan(SWITCH_OVER, plan)
+    if len(living) == 1 and leaver.zone in view.drained_zones and elsewhere:
+        plan = switch_over(service, leaver, elsewhere, sync_acks, unclear)
+        return SelectedPlan(SWITCH_OVER, plan)
+    if unclear and sync_acks:
+        return SelectedPlan(RELEASE_REPLICAS, release_replicas(service, present))
     return None
--- a/sumacloom/controller/policy/access.py
+++ b/sumacloom/controller/policy/access.py
@@ -1,107 +1,101 @@
-"""The access list at the registrars: a staged rollout, and the readings by which counters' leases are confirmed.
+"""Access lists at the controllers: a staged rollout, and the quorum reads that confirm poolers' leases.
 
-Where a list is or was in use, every registrar reads the register at a majority twice a second. A counter's stamp
-that came before a reading began is confirmed by that reading. An offer comes into force when it has stood for longer
-than a lease: who has not seen it by then has no lease left. No list of members is needed for that.
+Where a list is or was in use, every controller reads the register at a quorum twice a second. A pooler's
+stamp that came before a read began is confirmed by that read. An offer comes into force when it has
+stood for longer than a pooler's lease: who has not seen it by then has no lease left. No list of members
+is needed for that.
 """
 
 from collections import deque
+from typing import TYPE_CHECKING, NamedTuple
 
-from sumacloom.configuration.model import unpack_blueprint
+from sumacloom.consensus.codec import unchanged
+from sumacloom.consensus.proposal import Proposal
 from sumacloom.controller.policy import staged_rollout
-from sumacloom.controller.registers.values import keep
-from sumacloom.logs import Scribe
-from sumacloom.transport.updates import AccessNews
+from sumacloom.controller.registers import ACCESS_KEY
+from sumacloom.transport.updates import AccessUpdate
 
-scribe = Scribe("access")
-KEY = "access"
-READ_S = 0.5
-ENFORCE_S = 3.3  # longer than a counter's LEASE_S by more than its clock's tick
-MOST_STAMPS = 32
+if TYPE_CHECKING:
+    from sumacloom.controller.core import ControllerCore
 
+READ_EVERY_S = 0.5
+ENFORCE_S = 3.3  # longer than a pooler's LEASE_S by more than its clock's tick
+MAX_STAMPS = 32
+NEVER = -1e9
 
-class AccessValue(staged_rollout.Staged[bytes]):
-    def news(self) -> AccessNews:
-        """As it goes to the counters.
-
-        >>> AccessValue(2, b"new", b"old", False, 1).news()
-        AccessNews(order=4, generation=1, body=b'old', offered=b'new')
-        """
-        generation, body = self.current
-        return AccessNews(self.order, generation, body, b"" if self.in_force else self.wanted)
 
+class AccessValue(staged_rollout.StagedValue[bytes]):
+    """The register's value: the operator's own bytes, compressed."""
 
-class Readings:
-    """When the list was last read at a majority, by this registrar."""
+    def update(self) -> AccessUpdate:
+        """As it goes to the poolers.
 
-    def __init__(self, now: float):
-        self.read_at = -1e9  # when the last reading that succeeded began
-        self.began_at, self.reading = -1e9, None
-        self.offered_at = now  # when this registrar first saw the present stage
-
-    def mind(self, office, now: float) -> None:
-        """Reads anew by the clock, if a list is in use."""
-        if self.reading is not None and self.reading.outcome is not None:
-            if self.reading.outcome.is_ok():
-                self.read_at = self.began_at
-            self.reading = None
-        if self.reading is None and office.board.access.order and now - self.began_at >= READ_S:
-            self.began_at = now
-            self.reading = office.propose(KEY, keep, now, reading=True)
+        >>> AccessValue(2, b"new", b"old", False, 1).update()
+        AccessUpdate(order=4, version=1, body=b'old', offered=b'new')
+        """
+        version, body = self.current
+        return AccessUpdate(self.order, version, body, b"" if self.in_force else self.wanted)
 
 
-class Stamps:
-    """A counter's stamps that wait for a reading.
+class AccessRollout:
+    """Reads the register by the clock, and turns an offer into force once no older lease can stand.
 
-    >>> stamps = Stamps(); stamps.hear(70.0, 1.0); stamps.hear(71.0, 2.0); stamps.confirmed(1.5)
-    70.0
+    Attributes:
+        read_at: when the last read that succeeded began.
+        offered_at: when this controller first saw the present stage.
     """
 
-    def __init__(self):
-        self.waiting = deque(maxlen=MOST_STAMPS)
-        self.newest = None
+    def __init__(self, core: "ControllerCore", now: float):
+        self._core = core
+        self.read_at = NEVER
+        self.offered_at = now
+        self._read_started_at = NEVER
+        self._read: Proposal | None = None
 
-    def hear(self, stamp: float | None, now: float) -> None:
-        """A beat that carries a stamp.
+    def on_timer(self, now: float) -> None:
+        """Reads anew; as holder of the failover lease, puts an offer into force."""
+        self._read_register(now)
 
-        >>> Stamps().hear(None, 1.0)
-        """
-        if stamp is not None:
-            self.waiting.append((now, stamp))
+        def may_enforce(_value: AccessValue) -> bool:
+            return now - self.offered_at >= ENFORCE_S
 
-    def confirmed(self, read_at: float) -> float | None:
-        """The newest stamp that came before a reading began; None if there is none.
+        staged_rollout.advance(self._core, ACCESS_KEY, AccessValue, may_enforce, now)
+
+    def _read_register(self, now: float) -> None:
+        if self._read is not None and self._read.outcome is not None:
+            if self._read.outcome.succeeded:
+                self.read_at = self._read_started_at
+            self._read = None
+        in_use = self._core.cache.access.order
+        if self._read is None and in_use and now - self._read_started_at >= READ_EVERY_S:
+            self._read_started_at = now
+            self._read = self._core.propose(ACCESS_KEY, unchanged, now, reading=True)
 
-        >>> Stamps().confirmed(1.0) is None
-        True
-        """
-        while self.waiting and self.waiting[0][0] <= read_at:
-            self.newest = self.waiting.popleft()[1]
-        return self.newest
 
+class _Stamp(NamedTuple):
+    received_at: float
+    stamp: float
 
-def held(office) -> AccessValue | None:
-    """The value as this registrar knows it to be decided."""
-    return staged_rollout.held(office, KEY, AccessValue)
 
+class StampQueue:
+    """A pooler's stamps that wait for a read.
 
-def mind_access(office, now: float) -> None:
-    """Reads by the clock; as holder of the duty, puts an offer into force once no lease can be older."""
-    office.readings.mind(office, now)
-    staged_rollout.mind(
-        office,
-        KEY,
-        AccessValue,
-        lambda _value: now - office.readings.offered_at >= ENFORCE_S,
-        scribe,
-        now,
-    )
+    >>> stamps = StampQueue(); stamps.receive(70.0, 1.0); stamps.receive(71.0, 2.0)
+    >>> stamps.confirmed_by(1.5)
+    70.0
+    """
 
+    def __init__(self) -> None:
+        self._waiting: deque[_Stamp] = deque(maxlen=MAX_STAMPS)
+        self._newest: float | None = None
 
-def body_of(packed: bytes) -> bytes:
-    """The operator's own bytes.
+    def receive(self, stamp: float | None, now: float) -> None:
+        """A heartbeat that may carry a stamp."""
+        if stamp is not None:
+            self._waiting.append(_Stamp(now, stamp))
 
-    >>> body_of(b"{}")
-    b'{}'
-    """
-    return unpack_blueprint(packed)
+    def confirmed_by(self, read_at: float) -> float | None:
+        """The newest stamp that came before a read began; None if there is none."""
+        while self._waiting and self._waiting[0].received_at <= read_at:
+            self._newest = self._waiting.popleft().stamp
+        return self._newest
--- a/sumacloom/controller/policy/priority.py
+++ b/sumacloom/controller/policy/priority.py
@@ -1,58 +1,55 @@
-"""The priority lane: offered to every counter first, in force only once all of them hold it.
+"""Priority databases: offered to every pooler first, in force only once all of them hold the offer.
 
-Register `lanes`: {generation, databases, before, in_force}. The holder of the failover duty turns an
-offer into force when every counter known to any registrar holds the offer; one that has just left is
-waited for until its own lease has surely run out, after which it calls itself unready.
+A pooler that has just left is waited for until its own doubt has surely made it unready.
 """
 
+from typing import TYPE_CHECKING
+
+from sumacloom.consensus.codec import Change
 from sumacloom.controller.policy import staged_rollout
-from sumacloom.logs import Scribe
-from sumacloom.transport.updates import LaneNews
+from sumacloom.controller.registers import PRIORITY_KEY
+from sumacloom.transport.updates import PriorityUpdate
+
+if TYPE_CHECKING:
+    from sumacloom.controller.core import ControllerCore
+
+MAX_DATABASES = 64
 
-scribe = Scribe("lanes")
-KEY = "lanes"
-MOST_LANES = 64
 
+class PriorityValue(staged_rollout.StagedValue[list[str]]):
+    """The register's value: databases by name."""
 
-class LanesValue(staged_rollout.Staged[list[str]]):
-    def news(self) -> LaneNews:
-        """As it goes to the counters.
+    def update(self) -> PriorityUpdate:
+        """As it goes to the poolers.
 
-        >>> LanesValue(2, ["a"], [], False).news().order
+        >>> PriorityValue(2, ["a"], [], False).update().order
         4
         """
-        return LaneNews(self.order, self.current[1], self.wanted)
+        return PriorityUpdate(self.order, self.current[1], self.wanted)
+
+
+def offer(databases: list[str]) -> Change:
+    """The change that offers a new set of databases; the same set again changes nothing."""
+    return staged_rollout.offer(PriorityValue, sorted(set(databases)), [])
 
 
-def offer(databases: list[str]):
-    """The change that offers a new set of databases; the same set again changes nothing.
+def enforce(version: int) -> Change:
+    """The change that puts an offer into force."""
+    return staged_rollout.enforce(PriorityValue, version)
 
-    >>> from sumacloom.controller.registers.values import decode
-    >>> decode(LanesValue, offer(["a"])(None).ok()).in_force
-    False
-    """
-    return staged_rollout.offer(LanesValue, sorted(set(databases)), [])
 
+class PriorityRollout:
+    """Turns an offer into force once every pooler holds it."""
 
-def enforce(generation: int):
-    """The change that puts an offer into force.
+    def __init__(self, core: "ControllerCore", now: float):
+        self._core = core
+        self.offered_at = now  # when this controller first saw the present stage
 
-    >>> enforce(1)(None).err().name
-    'stale_match'
-    """
-    return staged_rollout.enforce(LanesValue, generation)
+    def on_timer(self, now: float) -> None:
+        """As holder of the failover lease: puts an offer into force once every pooler holds it."""
 
+        def may_enforce(value: PriorityValue) -> bool:
+            stands = now - self.offered_at >= staged_rollout.MIN_OFFER_S
+            return stands and not self._core.members.without_priority(value.order, now)
 
-def mind_lanes(office, now: float) -> None:
-    """As holder of the duty: puts an offer into force once every counter holds it."""
-    staged_rollout.mind(
-        office,
-        KEY,
-        LanesValue,
-        lambda value: (
-            now - office.lanes_at >= staged_rollout.OFFER_S
-            and not office.members.lacking(value.order, now)
-        ),
-        scribe,
-        now,
-    )
+        staged_rollout.advance(self._core, PRIORITY_KEY, PriorityValue, may_enforce, now)
--- a/sumacloom/controller/policy/staged_rollout.py
+++ b/sumacloom/controller/policy/staged_rollout.py
@@ -1,127 +1,144 @@
-"""A staged rollout: a value is offered first, and in force only once nobody can still serve by the one before.
+"""Staged rollout: a value is offered first, and in force only once nobody can still serve by the one before.
 
-The value in its register: generation, what is wanted, what is in force meanwhile, and whether the wanted is in force.
-The holder of the failover duty turns an offer into force; who says when it may is the caller's affair.
+The holder of the failover lease turns an offer into force; when it may is for each policy to say.
 """
 
-from typing import Generic, TypeVar
+import logging
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any, Generic, TypeVar
 
 import msgspec
 
-from sumacloom.controller.failover import lease
-from sumacloom.controller.registers.order_history import Taken
-from sumacloom.controller.registers.values import decode, digest_of, encode
-from sumacloom.errors import Err, Ok, mishap
-from sumacloom.logs import Scribe
+from sumacloom.consensus.codec import Change, decode, encode
+from sumacloom.controller.registers.configuration import body_digest
+from sumacloom.controller.registers.order_history import OrderHistory
+from sumacloom.errors import OrderForgottenError, StaleVersionError
+
+if TYPE_CHECKING:
+    from sumacloom.controller.core import ControllerCore
+
+logger = logging.getLogger(__name__)
 
 Body = TypeVar("Body")
-OFFER_S = 0.2
-MOST_TAKEN = 64
+MIN_OFFER_S = 0.2
+MAX_ORDERS = 64
+
 
+class StagedValue(msgspec.Struct, Generic[Body], array_like=True):
+    """The value of a register that is rolled out in stages.
 
-class Staged(msgspec.Struct, Generic[Body], array_like=True):
-    generation: int
+    Attributes:
+        wanted: the newest body.
+        before: what is in force while `wanted` is only offered.
+        since: the version of `before`.
+        history: the offers that were taken, packed, of those that name what they build on.
+    """
+
+    version: int
     wanted: Body
-    before: Body  # what is in force while this is an offer
+    before: Body
     in_force: bool
-    since: int = 0  # the generation of `before`
-    history: bytes = b""  # the offers that were taken, of those that name what they build on
+    since: int = 0
+    history: bytes = b""
 
     @property
     def order(self) -> int:
-        """What makes one stage newer than another: twice the generation, and one more once in force.
+        """What makes one stage newer than another: twice the version, and one more once in force.
 
-        >>> Staged(2, ["a"], [], False).order
+        >>> StagedValue(2, ["a"], [], False).order
         4
         """
-        return self.generation * 2 + self.in_force
+        return self.version * 2 + self.in_force
 
     @property
-    def current(self) -> tuple:
-        """What is in force now: (its generation, the body).
+    def current(self) -> tuple[int, Body]:
+        """What is in force now, and its version.
 
-        >>> Staged(2, ["a"], ["b"], False, 1).current, Staged(2, ["a"], ["b"], True, 1).current
+        >>> StagedValue(2, ["a"], ["b"], False, 1).current, StagedValue(2, ["a"], ["b"], True, 1).current
         ((1, ['b']), (2, ['a']))
         """
-        return (self.generation, self.wanted) if self.in_force else (self.since, self.before)
+        return (self.version, self.wanted) if self.in_force else (self.since, self.before)
 
 
-def offer(kind, wanted, empty, base: int | None = None):
-    """The change that offers a value; the same again changes nothing, another base is stale.
+def offer(kind: Any, wanted: Any, empty: Any, base: int | None = None) -> Change:
+    """The change that offers a body; the same again changes nothing.
 
-    >>> decode(Staged[list[str]], offer(Staged[list[str]], ["a"], [])(None).ok()).in_force
+    >>> decode(StagedValue[list[str]], offer(StagedValue[list[str]], ["a"], [])(None)).in_force
     False
-    >>> offer(Staged[list[str]], ["a"], [], base=3)(None).err().name
-    'stale_match'
+
+    Args:
+        kind: the type of the register's value.
+        wanted: the body.
+        empty: the body before the first.
+        base: the version that it builds on; None for an order without one.
     """
 
-    def change(current_bytes):
-        found = decode(kind, current_bytes) or kind(0, empty, empty, True)
-        taken, digest = Taken.unpack(found.history), digest_of(encode(wanted))
-        if base is not None and taken.holds(base + 1, digest):
-            return Ok(None)
-        if base is not None and base < taken.forgotten:
-            return Err(
-                mishap(
-                    "forgotten",
-                    f"it is not known any more whether the generation {base + 1} was this one",
-                )
-            )
-        resent = base is None or base in (found.generation, found.generation - 1)
-        if found.generation and found.wanted == wanted and resent:
-            return Ok(None)
-        if base is None and found.wanted == wanted:
-            return Ok(None)
-        if base is not None and base != found.generation:
-            return Err(
-                mishap("stale_match", f"the current generation is {found.generation}, not {base}")
-            )
-        since, before = found.current
-        history = found.history if base is None else taken.add(base + 1, digest, MOST_TAKEN).pack()
-        return Ok(encode(kind(found.generation + 1, wanted, before, False, since, history)))
+    def change(current: bytes | None) -> bytes | None:
+        value = decode(kind, current) or kind(0, empty, empty, True)
+        if base is None:
+            if value.wanted == wanted:
+                return None
+            history = value.history
+        else:
+            taken, digest = OrderHistory.unpack(value.history), body_digest(encode(wanted))
+            if _was_taken(value, wanted, base, taken, digest):
+                return None
+            if base != value.version:
+                raise StaleVersionError(f"the current version is {value.version}, not {base}")
+            history = taken.add(base + 1, digest, MAX_ORDERS).pack()
+        since, before = value.current
+        return encode(kind(value.version + 1, wanted, before, False, since, history))
 
     return change
 
 
-def enforce(kind, generation: int):
-    """The change that puts an offer into force.
+def _was_taken(
+    value: StagedValue, wanted: Any, base: int, taken: OrderHistory, digest: bytes
+) -> bool:
+    """Whether an order that names its base was taken before.
 
-    >>> offered = offer(Staged[list[str]], ["a"], [])(None).ok()
-    >>> decode(Staged[list[str]], enforce(Staged[list[str]], 1)(offered).ok()).in_force
-    True
+    Raises:
+        OrderForgottenError: it is too old to tell.
     """
-
-    def change(current_bytes):
-        found = decode(kind, current_bytes)
-        if found is None or found.generation != generation:
-            return Err(mishap("stale_match", "another generation was offered meanwhile"))
-        if found.in_force:
-            return Ok(None)
-        return Ok(
-            encode(kind(generation, found.wanted, type(found.before)(), True, 0, found.history))
+    if taken.contains(base + 1, digest):
+        return True
+    if base < taken.forgotten:
+        raise OrderForgottenError(
+            f"it is not known any more whether the version {base + 1} was this one"
         )
+    resent = base in (value.version, value.version - 1)
+    return bool(value.version) and value.wanted == wanted and resent
+
+
+def enforce(kind: Any, version: int) -> Change:
+    """The change that puts an offer into force; refused if another was offered meanwhile."""
+
+    def change(current: bytes | None) -> bytes | None:
+        value = decode(kind, current)
+        if value is None or value.version != version:
+            raise StaleVersionError("another version was offered meanwhile")
+        if value.in_force:
+            return None
+        empty = type(value.before)()
+        return encode(kind(version, value.wanted, empty, True, 0, value.history))
 
     return change
 
 
-def held(office, key: str, kind):
-    """The value as this registrar knows it to be decided; None if there is none."""
-    return decode(kind, office.decided[key][1]) if key in office.decided else None
+def committed_value(core: "ControllerCore", key: str, kind: Any) -> Any:
+    """The value as this controller knows it to be committed; None if there is none."""
+    return decode(kind, core.committed[key].value) if key in core.committed else None
 
 
-def mind(office, key: str, kind, may_enforce, scribe: Scribe, now: float) -> None:
-    """As holder of the duty: puts an offer into force once it may be."""
-    value = held(office, key, kind)
-    if (
-        value is None
-        or value.in_force
-        or not lease.holds_duty(office, now)
-        or not office.settled(now)
-    ):
+def advance(
+    core: "ControllerCore", key: str, kind: Any, may_enforce: Callable[[Any], bool], now: float
+) -> None:
+    """As holder of the lease: puts an offer into force once it may be."""
+    value = committed_value(core, key, kind)
+    if value is None or value.in_force:
         return
-    busy = any(proposal.key == key for proposal in office.proposals)
-    if not busy and may_enforce(value):
-        scribe.say(
-            "nobody can serve by an older one: the %s %d come into force", key, value.generation
-        )
-        office.propose(key, enforce(kind, value.generation), now)
+    if not core.failover_lease.is_held(now) or not core.in_quorum(now):
+        return
+    if not core.is_busy(key) and may_enforce(value):
+        logger.info("nobody can serve by an older one: %s %d come into force", key, value.version)
+        core.propose(key, enforce(kind, value.version), now)
--- a/sumacloom/controller/process.py
+++ b/sumacloom/controller/process.py
@@ -1,383 +1,429 @@
-"""The registrar's shell: sockets, disk and clock around the office."""
+"""The controller's process: sockets, disk and clock around the core."""
 
+import logging
 import random
 import time
-from collections import deque
+from collections.abc import Callable
+from typing import Any, NamedTuple
 
 import curio
 
 from sumacloom import http
-from sumacloom.consensus import reconfiguration
-from sumacloom.controller.admin import access_calls, routes, tables  # noqa: F401  (access_calls serves calls)
-from sumacloom.controller.core import Office
-from sumacloom.controller.delivery.log import may_leave, take_intent, take_verdict, unhanded
-from sumacloom.controller.disk_writer import sync_disk
-from sumacloom.controller.failover.executor import Doubted, note_tick, stood_still
-from sumacloom.controller.failover.supervisor import mind_backends
-from sumacloom.controller.policy.access import Stamps
-from sumacloom.controller.policy.pool_modes import hear_minds
-from sumacloom.logs import Scribe
-from sumacloom.settings import FileWatch, Settings, read_settings, split_address
+from sumacloom.consensus.codec import Change
+from sumacloom.consensus.node import seed_hosts
+from sumacloom.consensus.proposal import Proposal
+from sumacloom.controller.admin.router import handle
+from sumacloom.controller.admin.tables import TableService
+from sumacloom.controller.core import ControllerCore
+from sumacloom.controller.disk_writer import DiskWriter
+from sumacloom.controller.failover.executor import CommandExecutor
+from sumacloom.controller.failover.supervisor import FailoverSupervisor
+from sumacloom.controller.pooler_link import PoolerLink
+from sumacloom.controller.stall_detector import StallDetector
+from sumacloom.errors import SumacloomError
+from sumacloom.settings import CONTROLLER, FileWatch, Settings, read_settings, split_address
 from sumacloom.signals import Signals
-from sumacloom.transport.link import Link, accept_all, dial, kept, listen, tune
+from sumacloom.transport.link import (
+    Link,
+    accept_forever,
+    configure_socket,
+    dial,
+    listen,
+    run_forever,
+)
 from sumacloom.transport.messages import (
+    CONTROLLER_ROLE,
+    POOLER_ROLE,
+    ControllerHeartbeat,
+    DeliveryIntent,
+    DeliveryOutcome,
     Follow,
     Hello,
-    Intent,
-    MemberBeat,
-    Pending,
-    RegistrarBeat,
-    Verdict,
+    Message,
+    PoolerHeartbeat,
+    PrimaryPending,
+    SetLogLevel,
+    TablesReply,
+    TablesRequest,
 )
-from sumacloom.wal.log import Ledger
+from sumacloom.wal.log import WriteAheadLog
+
+logger = logging.getLogger(__name__)
 
-scribe = Scribe("registrar")
 TICK_S = 0.05
-FAN = 4
+FAN_OUT = 4  # how many poolers of a zone, or of a parent, take their updates directly
 PEER_DIAL_S = 0.35
-FLIPPED_S = 0.4
-COUNT_S = 0.1
-LEAVE_SHARE = 2 / 3  # of graceS: how long a stopped registrar stays at most for what depends on it
-WAKING_S = 0.5  # within it, all that came while we stood still has been read
+REDIAL_S = 0.1
+QUORUM_CHANGE_S = 0.4  # a change of standing is logged once it has lasted so long
+COUNT_EVERY_S = 0.1
+SUSPECT_REPEAT_S = 0.5
+LEAVE_SHARE = 2 / 3  # of graceS: how long a stopped controller stays at most for what depends on it
+WAKING_S = 0.5  # within it, all that came while the process was stalled has been read
+MAX_CONFIGURATION_BYTES = 4 << 20
+NEVER = -1e9
+
+
+class Waiter(NamedTuple):
+    """A task that waits for a proposal's outcome."""
+
+    proposal: Proposal
+    event: Any
 
 
-class Shell:
-    """One running registrar."""
+class ControllerProcess:
+    """One running controller.
 
-    counted, counted_at = 1, -1e9  # the members of the whole fleet, and when they were counted
+    Attributes:
+        outgoing: by peer address, the links that we dialled.
+        incoming: by peer address, the links that a peer dialled; used until ours stands.
+        poolers: by node, the links of poolers in session here.
+        background: coroutine functions to be started beside the links.
+    """
 
     def __init__(self, settings: Settings):
         self.settings = settings
-        self.most_blueprint = 4 << 20
-        self.office = Office(settings, Ledger(settings.datadir), random.SystemRandom(), self.now())
-        self.office.storage.prompt = (
-            False  # from here on the disk is waited for in a thread of its own
-        )
-        self.syncing = self.disk_ill = self.was_settled = False
-        self.flipped_at, self.settled_at = None, self.now()
-        self.dialled: set[str] = set()
-        self.ticked_at, self.stood_still_at = self.now(), -1e9
-        self.out_links: dict[str, Link] = {}  # peer ip: link we dialled
-        self.in_links: dict[str, Link] = {}  # peer ip: link it dialled; used until ours stands
-        self.counters: dict[str, Link] = {}  # node: its link
-        self.waiting: list[tuple] = []  # (proposal, event)
-        self.plans, self.probing, self.misses = {}, set(), {}
-        self.doubts: dict[str, Doubted] = {}  # services for which a promotion may yet land
-        self.platform_calls = deque()  # when the last calls to the platform left
-        self.duty_known = None  # the holding of the duty that the doubts belong to
-        self.parts: dict[int, dict] = {}  # inquiry: peer ip: its tables
-        self.inquiries = 0
-        self.errands: list = []  # coroutine functions to be run beside the links
-        self.nobody_since: dict[str, float] = {}
-        self.signals = Signals().listen()
-        self.watch = FileWatch()
+        self.max_configuration_bytes = MAX_CONFIGURATION_BYTES
+        wal = WriteAheadLog(settings.datadir)
+        self.core = ControllerCore(settings, wal, random.SystemRandom(), self.now())
+        self.core.storage.synchronous = False  # from here on the disk is waited for in a thread
+        self.disk_writer = DiskWriter(self)
+        self.stalls = StallDetector(self.now())
+        self.executor = CommandExecutor(self)
+        self.supervisor = FailoverSupervisor(self, self.executor)
+        self.tables = TableService(self)
+        self.outgoing: dict[str, Link] = {}
+        self.incoming: dict[str, Link] = {}
+        self.poolers: dict[str, PoolerLink] = {}
+        self.background: list[Callable[[], Any]] = []
+        self.signals = Signals().install()
         self.port = settings.port_range[0]
+        self._watch = FileWatch()
+        self._dialled: set[str] = set()
+        self._waiters: list[Waiter] = []
+        self._member_count, self._counted_at = 1, NEVER
+        self._was_in_quorum = False
+        self._standing_changed_at: float | None = None
+        self._in_quorum_at = self.now()
 
     @staticmethod
     def now() -> float:
-        """The steady clock.
-
-        >>> Shell.now() <= Shell.now()
-        True
-        """
+        """Seconds on the steady clock."""
         return time.monotonic()
 
     def hello(self) -> Hello:
-        """How this registrar names itself."""
+        """How this controller names itself."""
         settings = self.settings
-        return Hello(
-            settings.node, "registrar", settings.zone, f"{settings.ip}:{self.port}", settings.ip
-        )
+        address = f"{settings.ip}:{self.port}"
+        return Hello(settings.node, CONTROLLER_ROLE, settings.zone, address, settings.ip)
 
     # ------------------------------------------------------------ acting
-    async def act(self) -> None:
-        """Sends what the office put out, wakes who waits for an outcome, passes news on."""
-        office = self.office
-        outbox, office.outbox = office.outbox, []
+    async def flush(self) -> None:
+        """Sends what the core put out, wakes who waits for an outcome, passes updates on."""
+        outbox, self.core.outbox = self.core.outbox, []
         for peer, message in outbox:
-            link = self.out_links.get(peer) or self.in_links.get(peer) or self.counters.get(peer)
+            link = self.outgoing.get(peer) or self.incoming.get(peer) or self.poolers.get(peer)
             if link:
                 link.send(message)
-        still = []
-        for proposal, event in self.waiting:
-            if proposal.outcome is None:
-                still.append((proposal, event))
+        await self._wake_waiters()
+        background, self.background = self.background, []
+        for function in background:
+            await curio.spawn(function, daemon=True)
+        self._send_updates()
+        await self.disk_writer.start()
+
+    async def _wake_waiters(self) -> None:
+        still_waiting = []
+        for waiter in self._waiters:
+            if waiter.proposal.outcome is None:
+                still_waiting.append(waiter)
             else:
-                await event.set()
-        self.waiting = still
-        errands, self.errands = self.errands, []
-        for errand in errands:
-            await curio.spawn(errand, daemon=True)
-        self.pass_news()
-        if office.storage.batches and not self.syncing:
-            self.syncing = True
-            await curio.spawn(sync_disk, self, daemon=True)
-
-    def pass_news(self) -> None:
-        """Sends the counters that hang on us directly what they lack."""
-        board, digest = self.office.board, self.office.board.digest()
-        for _node, link in self.counters.items():
-            if (
-                link.digest is None
-                or link.digest == digest
-                or link.parent
-                or not link.outlet.flush()
-            ):
+                await waiter.event.set()
+        self._waiters = still_waiting
+
+    def _send_updates(self) -> None:
+        """Sends the poolers that take their updates from us what they lack."""
+        cache, digest = self.core.cache, self.core.cache.digest()
+        for link in self.poolers.values():
+            if link.digest is None or link.digest == digest or link.parent:
                 continue
-            news = board.news_for(link.digest)
-            if news:
-                link.send(news)
+            if not link.send_buffer.flush():
+                continue  # it gets the newest once the link is through
+            update = cache.update_for(link.digest)
+            if update:
+                link.send(update)
             link.digest = digest
 
-    async def decide(self, key: str, change, reading: bool = False):
-        """Proposes, and waits for the outcome."""
-        proposal = self.office.propose(key, change, self.now(), reading)
+    async def commit(self, key: str, change: Change, reading: bool = False) -> bytes | None:
+        """Proposes a change or a read, and waits for its outcome.
+
+        Returns:
+            The committed value.
+
+        Raises:
+            SumacloomError: the change was refused, or no quorum answered in time.
+        """
+        proposal = self.core.propose(key, change, self.now(), reading)
         if proposal.outcome is None:
             event = curio.Event()
-            self.waiting.append((proposal, event))
-            await self.act()
+            self._waiters.append(Waiter(proposal, event))
+            await self.flush()
             await event.wait()
         else:
-            await self.act()
-        return proposal.outcome
+            await self.flush()
+        assert proposal.outcome is not None  # it is what was waited for
+        return proposal.outcome.value()
 
-    def waking(self) -> bool:
-        """Whether this process stood still a moment ago: what it reads now may have come long before.
-
-        >>> from types import SimpleNamespace
-        >>> [Shell.waking(SimpleNamespace(now=lambda: 9.0, ticked_at=ticked_at, stood_still_at=stood_still_at))
-        ...  for ticked_at, stood_still_at in [(8.0, -1e9), (8.95, 8.9), (8.95, 1.0)]]
-        [True, True, False]
-        """
-        return stood_still(self, self.now() - WAKING_S)
+    def is_waking(self) -> bool:
+        """Whether this process was stalled a moment ago: what it reads now may have come long before."""
+        now = self.now()
+        return self.stalls.stalled_since(now - WAKING_S, now)
 
     # ------------------------------------------------------------ links
-    async def keep_link(self, peer: str) -> None:
-        """Keeps a link to another registrar, dialling anew when it ends."""
-        while peer in self.office.others():
+    async def _keep_link(self, peer: str) -> None:
+        """Keeps a link to another controller, dialling again when it ends."""
+        while peer in self.core.peer_addresses():
             try:
                 sock = await dial(peer, self.port, PEER_DIAL_S)
             except OSError:
-                await curio.sleep(0.1)
+                await curio.sleep(REDIAL_S)
                 continue
             link = Link(sock)
             link.send(self.hello())
-            self.out_links[peer] = link
+            self.outgoing[peer] = link
             async for message in link.messages():
-                self.hear_peer(peer, message)
-                await self.act()
-            del self.out_links[peer]
+                await self._receive_from_peer(peer, message)
+                await self.flush()
+            del self.outgoing[peer]
             await link.close()
-            await curio.sleep(0.1)
-        self.dialled.discard(peer)
-
-    async def take_link(self, sock) -> None:
-        """A daemon dialled us: another registrar, or a counter."""
-        tune(sock._socket)
-        link = Link(sock)
-        link.parent, link.shared_at, link.leaving, link.stamps = "", 0.0, False, Stamps()
-        link.report, link.reported_at, link.answers_ms = None, -1e9, 0
+            await curio.sleep(REDIAL_S)
+        self._dialled.discard(peer)
+
+    async def _serve_link(self, sock: Any) -> None:
+        """A daemon dialled us: another controller, or a pooler."""
+        configure_socket(sock._socket)
+        link = PoolerLink(sock)
         try:
             async for message in link.messages():
-                now = self.now()
-                if link.peer is None:
-                    if not isinstance(message, Hello):
-                        break
+                if link.peer is not None:
+                    await self._receive(link, link.peer, message)
+                    await self.flush()
+                elif isinstance(message, Hello):
                     link.peer = message
-                    if message.role == "counter":
+                    if message.role == POOLER_ROLE:
                         link.send(self.hello())
-                    continue
-                if link.peer.role == "counter":
-                    self.hear_counter(link, message, now)
                 else:
-                    self.in_links[link.peer.ip] = link
-                    self.hear_peer(link.peer.ip, message)
-                await self.act()
+                    break
         finally:
-            if link.peer and self.in_links.get(link.peer.ip) is link:
-                del self.in_links[link.peer.ip]
-            if link.peer and self.counters.get(link.peer.node) is link:
-                del self.counters[link.peer.node]
-                self.office.members.end(link.peer.node, self.now(), link.leaving)
+            self._end_link(link)
             await link.close()
 
-    def hear_counter(self, link: Link, message, now: float) -> None:
-        """A counter's heartbeat, or its call for news."""
-        office, node = self.office, link.peer.node
+    async def _receive(self, link: PoolerLink, peer: Hello, message: Any) -> None:
+        if peer.role == POOLER_ROLE:
+            self._receive_from_pooler(link, peer, message, self.now())
+        else:
+            self.incoming[peer.ip] = link
+            await self._receive_from_peer(peer.ip, message)
+
+    def _end_link(self, link: PoolerLink) -> None:
+        if link.peer is None:
+            return
+        if self.incoming.get(link.peer.ip) is link:
+            del self.incoming[link.peer.ip]
+        if self.poolers.get(link.node) is link:
+            del self.poolers[link.node]
+            self.core.members.end(link.node, self.now(), link.leaving)
+
+    def _receive_from_pooler(self, link: PoolerLink, peer: Hello, message: Any, now: float) -> None:
         if isinstance(message, Follow):
             link.digest = message.digest
-            news = office.board.news_for(message.digest)
-            if news:
-                link.send(news)
-            return
-        if isinstance(message, Intent):
-            take_intent(office, node, message, now)
-        elif isinstance(message, Verdict):
-            take_verdict(office, node, message, now)
-        if not isinstance(message, MemberBeat):
-            return
+            update = self.core.cache.update_for(message.digest)
+            if update:
+                link.send(update)
+        elif isinstance(message, DeliveryIntent):
+            self.core.delivery.take_intent(peer.node, message, now)
+        elif isinstance(message, DeliveryOutcome):
+            self.core.delivery.take_outcome(peer.node, message, now)
+        elif isinstance(message, PoolerHeartbeat):
+            self._receive_heartbeat(link, peer, message, now)
+
+    def _receive_heartbeat(
+        self, link: PoolerLink, peer: Hello, message: PoolerHeartbeat, now: float
+    ) -> None:
+        core = self.core
         link.leaving, link.answers_ms = message.leaving, message.sent_ms
-        link.stamps.hear(message.stamp, now)
-        hear_minds(office, message.minds)
-        office.members.hear(
-            node,
-            link.peer.zone,
-            link.peer.address,
+        link.stamps.receive(message.stamp, now)
+        core.pool_mode_votes.receive(message.pool_mode_votes)
+        core.members.receive(
+            peer.node,
+            peer.zone,
+            peer.address,
             now,
-            message.digest.lanes,
-            message.digest.listeners,
-            link.peer.life,
+            message.digest.priority,
+            message.digest.subscribers,
+            peer.incarnation,
         )
-        self.counters[node] = link
+        self.poolers[peer.node] = link
         link.digest = message.digest
         if message.report:
             link.report, link.reported_at = message.report, now
-        office.roster.take_sightings(message.positions, now, own=True)
-        for name in message.mishaps:
-            if name not in office.roster.suspected or now - office.roster.suspected[name] > 0.5:
-                office.roster.suspect(name, now)
-                office.told_suspects.add(name)
-                office.beaten_at = -1e9
-        link.parent = office.members.parent(node, self.settings.zone, FAN)
-        self.beat_counter(link, now)
-
-    def beat_counter(
-        self, link: Link, now: float, want_report: bool = False, level: str = ""
+        core.registry.take_observations(message.positions, now, own=True)
+        for name in message.failed_backends:
+            if now - core.registry.suspected_at.get(name, NEVER) > SUSPECT_REPEAT_S:
+                core.report_suspect(name, now)
+        link.parent = core.members.parent(peer.node, self.settings.zone, FAN_OUT)
+        self.send_heartbeat(link, now)
+
+    def send_heartbeat(
+        self, link: PoolerLink, now: float, want_report: bool = False, log_level: str = ""
     ) -> None:
-        """Our heartbeat to a counter."""
-        office = self.office
-        registrars = [f"{ip}:{self.port}" for ip in [self.settings.ip, *office.others()]]
-        if (
-            now - self.counted_at >= COUNT_S
-        ):  # all members are looked at: not for each counter's beat
-            self.counted, self.counted_at = max(1, office.members.count(now)), now
-        sightings = office.roster.sightings(link.shared_at, now)
-        link.shared_at = now
+        """Our heartbeat to a pooler."""
+        core = self.core
+        addresses = [self.settings.ip, *core.peer_addresses()]
+        positions = core.registry.observations(link.positions_sent_at, now)
+        link.positions_sent_at = now
         link.send(
-            RegistrarBeat(
-                office.board.digest(),
-                self.counted,
+            ControllerHeartbeat(
+                core.cache.digest(),
+                self._count_members(now),
                 link.parent,
-                registrars,
-                sightings,
+                [f"{address}:{self.port}" for address in addresses],
+                positions,
                 want_report,
-                level,
-                office.settled(now),
-                link.stamps.confirmed(office.readings.read_at),
+                log_level,
+                core.in_quorum(now),
+                link.stamps.confirmed_by(core.access.read_at),
                 link.answers_ms,
             )
         )
 
-    def announce(self, message: Pending) -> None:
-        """Passes word of a coming lead to the counters in session here."""
-        for link in self.counters.values():
+    def _count_members(self, now: float) -> int:
+        """How many poolers the fleet has; all are looked at, so not for each pooler's heartbeat."""
+        if now - self._counted_at >= COUNT_EVERY_S:
+            self._member_count, self._counted_at = max(1, self.core.members.count(now)), now
+        return self._member_count
+
+    def announce(self, message: PrimaryPending) -> None:
+        """Tells the poolers in session here of a new primary on its way."""
+        self.send_to_poolers(message)
+
+    def send_to_poolers(self, message: Message) -> None:
+        """A message for all poolers in session here."""
+        for link in self.poolers.values():
             link.send(message)
 
-    def hear_peer(self, peer: str, message) -> None:
-        """A message of another registrar, on whichever link it came."""
-        if isinstance(message, Pending):
+    async def _receive_from_peer(self, peer: str, message: Any) -> None:
+        if isinstance(message, PrimaryPending):
             self.announce(message)
-        elif not tables.hear(self, peer, message):
-            self.office.hear(peer, message, self.now())
+        elif isinstance(message, TablesReply):
+            self.tables.receive_reply(peer, message)
+        elif isinstance(message, TablesRequest):
+            self.tables.answer_request(peer, message)
+        elif isinstance(message, SetLogLevel):
+            self.tables.apply_log_level(message.level)
+        else:
+            self.core.receive(peer, message, self.now())
 
     # ------------------------------------------------------------ running
-    async def clock(self) -> None:
+    async def _clock(self) -> None:
         """Ticks until SIGTERM."""
-        while not self.signals.ending:
+        while not self.signals.terminating:
             await curio.sleep(TICK_S)
-            if self.signals.take_hangup() or self.watch.changed(self.now()):
-                self.reread()
             now = self.now()
-            note_tick(self, now)
-            self.office.tick(now)
-            self.note_settled(now)
-            for peer in set(self.office.others()) - self.dialled:
-                self.dialled.add(peer)
-                await curio.spawn(kept, scribe, self.keep_link, peer, daemon=True)
-            await mind_backends(self, now)
-            for link in [*self.counters.values(), *self.out_links.values()]:
-                link.outlet.flush()
-            await self.act()
-
-    def note_settled(self, now: float) -> None:
-        """Logs when the majority is lost, and when it is heard again."""
-        settled = self.office.settled(now)
-        if settled:
-            self.settled_at = now
-        if settled == self.was_settled:
-            self.flipped_at = None
+            if self.signals.take_hangup() or self._watch.has_changed(now):
+                self._reload_settings()
+            self.stalls.tick(now)
+            self.core.tick(now)
+            self._log_standing(now)
+            for peer in set(self.core.peer_addresses()) - self._dialled:
+                self._dialled.add(peer)
+                await curio.spawn(run_forever, logger, self._keep_link, peer, daemon=True)
+            await self.supervisor.on_timer(now)
+            for link in [*self.poolers.values(), *self.outgoing.values()]:
+                link.send_buffer.flush()
+            await self.flush()
+
+    def _log_standing(self, now: float) -> None:
+        """Logs when the quorum is lost, and when it is there again."""
+        in_quorum = self.core.in_quorum(now)
+        if in_quorum:
+            self._in_quorum_at = now
+        if in_quorum == self._was_in_quorum:
+            self._standing_changed_at = None
             return
-        self.flipped_at = self.flipped_at or now
-        if now - self.flipped_at >= FLIPPED_S:
-            self.was_settled = settled
-            scribe.say(
-                "a majority is heard and nothing decided is lacking"
-                if settled
-                else "no majority is heard, or something decided is lacking"
+        if self._standing_changed_at is None:
+            self._standing_changed_at = now
+        if now - self._standing_changed_at >= QUORUM_CHANGE_S:
+            self._was_in_quorum = in_quorum
+            logger.info(
+                "in contact with a quorum, nothing committed is missing"
+                if in_quorum
+                else "no contact with a quorum, or something committed is missing"
             )
 
-    def unsettled_s(self) -> float:
-        """For how long no majority has been heard, or something decided was lacking."""
-        return self.now() - self.settled_at
+    def out_of_quorum_s(self) -> float:
+        """For how long there has been no quorum, or something committed was missing."""
+        return self.now() - self._in_quorum_at
 
-    async def serve_ctl(self, sock) -> None:
+    async def _serve_ctl(self, sock: Any) -> None:
         """Serves one HTTP connection."""
 
-        async def handler(request):
-            return await routes.handle(self, request)
+        async def handler(request: http.Request) -> http.Reply:
+            return await handle(self, request)
 
-        await http.serve_wire(sock, handler)
+        await http.serve_connection(sock, handler)
 
-    def reread(self) -> None:
-        """Takes what may change while running: seeds, bounds, log level; a bad file changes nothing."""
-        result = read_settings("registrar")
-        if result.is_err():
-            scribe.warn("the old settings stay: %s", result.err().sentence)
+    def _reload_settings(self) -> None:
+        """Takes what may change while running: seeds, bounds, voting, zones; a bad file changes nothing."""
+        try:
+            fresh = read_settings(CONTROLLER)
+        except SumacloomError as error:
+            logger.warning("the old settings stay: %s", error.message)
             return
-        fresh = result.ok()
-        self.settings.seeds, self.settings.bounds, self.settings.zones = (
-            fresh.seeds,
-            fresh.bounds,
-            fresh.zones,
-        )
-        self.settings.voting, self.settings.tolerate = fresh.voting, fresh.tolerate
-        self.office.seeds = list(dict.fromkeys(split_address(seed)[0] for seed in fresh.seeds))
-        scribe.say("the settings were read again")
+        self.settings.seeds = fresh.seeds
+        self.settings.bounds = fresh.bounds
+        self.settings.zones = fresh.zones
+        self.settings.voting = fresh.voting
+        self.settings.tolerate = fresh.tolerate
+        self.core.seeds = seed_hosts(fresh.seeds)
+        logger.info("the settings were read again")
 
     async def main(self) -> int:
-        """Runs until SIGTERM."""
-        settings = self.settings
-        host, port = split_address(settings.listen.ctl)
-        await curio.spawn(kept, scribe, accept_all, listen(host, port), self.serve_ctl, daemon=True)
-        await curio.spawn(
-            kept, scribe, accept_all, listen(settings.ip, self.port), self.take_link, daemon=True
-        )
-        scribe.say("serving at %s", settings.listen.ctl)
-        await kept(scribe, self.clock)
-        await self.leave()
+        """Runs until SIGTERM, then leaves in order; returns the exit code."""
+        host, port = split_address(self.settings.listen.ctl)
+        for sock, serve in (
+            (listen(host, port), self._serve_ctl),
+            (listen(self.settings.ip, self.port), self._serve_link),
+        ):
+            await curio.spawn(run_forever, logger, accept_forever, sock, serve, daemon=True)
+        logger.info("serving at %s", self.settings.listen.ctl)
+        await run_forever(logger, self._clock)
+        await self._leave()
         return 0
 
-    async def leave(self) -> None:
-        """Says that it leaves; waits to be taken out of the voters and until what it alone holds is handed over."""
-        scribe.say("leaving")
-        office, cutoff = self.office, self.now() + self.settings.bounds.grace_s * LEAVE_SHARE
-        self.settings.voting = False
-        office.beaten_at = office.told_whole_at = -1e9
-        while (self.waiting or not may_leave(office, self.now())) and self.now() < cutoff:
+    async def _leave(self) -> None:
+        """Waits to be taken out of the voters, and until what it alone holds is handed over."""
+        logger.info("leaving")
+        core = self.core
+        longest_s = self.settings.bounds.grace_s * LEAVE_SHARE
+        deadline = self.now() + longest_s
+        core.announce_leaving()
+        while (self._waiters or not self._may_leave()) and self.now() < deadline:
             await curio.sleep(TICK_S)
-            office.tick(self.now())
-            await self.act()
-        left = unhanded(office)
-        if left:
-            scribe.warn(
-                "left with %d entries of the spool that no other disk is known to hold, the first %s",
-                len(left),
-                left[0],
+            core.tick(self.now())
+            await self.flush()
+        unreplicated = core.delivery.unreplicated()
+        if unreplicated:
+            logger.warning(
+                "left with %d delivery entries that no other disk is known to hold, the first %s",
+                len(unreplicated),
+                unreplicated[0],
             )
-        if office.me in office.acceptor.configuration.members and not reconfiguration.may_go(
-            office, self.now()
-        ):
-            scribe.warn(
-                "left while still among the voters: the change took longer than %.1f s",
-                self.settings.bounds.grace_s * LEAVE_SHARE,
+        is_member = core.me in core.acceptor.quorum.members
+        if is_member and not core.reconfiguration.may_leave(self.now()):
+            logger.warning(
+                "left while still among the voters: the change took longer than %.1f s", longest_s
             )
+
+    def _may_leave(self) -> bool:
+        now = self.now()
+        return self.core.reconfiguration.may_leave(now) and self.core.delivery.may_leave(now)
