--- a/sumacloom/daemon.py
+++ b/sumacloom/daemon.py
@@ -1,91 +1,101 @@
-"""Starts a daemon: settings, logs, the shell of its role."""
+"""Starts a daemon: settings, logs, and the process of its role.
+
+Modules of the two roles are imported only when they are started: start-up time counts.
+"""
 
 import errno
+import logging
 import sys
+import time
+from collections.abc import Awaitable, Callable
+from typing import Any, Protocol
+
+from sumacloom.errors import AddressUnusableError, DiskUnusableError, SumacloomError
+from sumacloom.logs import configure_logging
+from sumacloom.settings import POOLER, Settings, read_settings
+
+logger = logging.getLogger(__name__)
+
+DISK_ATTEMPTS, DISK_RETRY_S = 40, 0.5
+TRANSIENT_DISK_ERRORS = (errno.EIO, errno.ENOSPC)
 
-DISK_TRIES, DISK_PAUSE_S = 40, 0.5
+
+class Process(Protocol):
+    """What every role's process has."""
+
+    async def main(self) -> int:
+        """Runs to the end; returns the exit code."""
 
 
 def run_daemon(role: str, settings_path: str = "") -> int:
-    """Reads the settings, starts the logs and runs the daemon.
+    """Reads the settings, starts the logs and runs the daemon; returns the exit code."""
+    try:
+        settings = read_settings(role, settings_path)
+        configure_logging(settings.log_level, settings.node)
+        process = open_process(_process_class(role), settings)
+        return _run_process(process)
+    except SumacloomError as error:
+        print(f"sumacloom {role}: {error.message} (code {error.code})", file=sys.stderr)
+        return error.exit_code
 
-    >>> run_daemon("counter", "/nowhere")
-    2
-    """
-    from sumacloom.errors import exit_code
-    from sumacloom.logs import start_logs
-    from sumacloom.settings import read_settings
-
-    result = read_settings(role, settings_path)
-    if result.is_err():
-        found = result.err()
-        print(f"sumacloom {role}: {found.sentence} (code {found.code})", file=sys.stderr)
-        return exit_code(found.name)
-    settings = result.ok()
-    start_logs(settings.log_level, settings.node)
-    if role == "counter":
-        from sumacloom.pooler.process import Shell
-    else:
-        from sumacloom.controller.process import Shell
-    opened = open_shell(Shell, settings)
-    if opened.is_err():
-        found = opened.err()
-        print(f"sumacloom {role}: {found.sentence} (code {found.code})", file=sys.stderr)
-        return exit_code(found.name)
+
+def _process_class(role: str) -> Callable[[Settings], Process]:
+    if role == POOLER:
+        from sumacloom.pooler.process import PoolerProcess
+
+        return PoolerProcess
+    from sumacloom.controller.process import ControllerProcess
+
+    return ControllerProcess
+
+
+def _run_process(process: Process) -> int:
     try:
-        return run_whole(opened.ok().main)
+        return run_to_end(process.main)
     except OSError as error:
-        print(
-            f"sumacloom {role}: an address of the settings can't be served: {error} (code 1005)",
-            file=sys.stderr,
-        )
-        return exit_code("address_unusable")
+        raise AddressUnusableError(
+            f"an address of the settings can't be served: {error}"
+        ) from error
+
 
+def run_to_end(main: Callable[[], Awaitable[int]]) -> int:
+    """Runs a process's main under curio; its exit code stands, whatever the kernel's shutdown raises.
 
-def run_whole(main) -> int:
-    """Runs a daemon's main to its end; its code stands, whatever tasks begin while the loop cancels all others.
+    Tasks may still be spawned while the kernel cancels all others, which it reports as an error.
 
     >>> async def main(): return 0
-    >>> run_whole(main)
+    >>> run_to_end(main)
     0
     """
     import curio
 
-    codes = []
+    codes: list[int] = []
 
-    async def whole():
+    async def run() -> None:
         codes.append(await main())
 
     try:
-        curio.run(whole)
+        curio.run(run)
     except (AssertionError, RuntimeError):
         if not codes:
             raise
     return codes[0]
 
 
-def open_shell(kind, settings):
-    """Makes the daemon's shell; a disk that refuses for a moment is tried again, a missing one is not.
+def open_process(process_class: Callable[[Settings], Any], settings: Settings) -> Any:
+    """Makes the role's process; a disk that refuses for a moment is tried again, a missing one is not.
 
-    >>> open_shell(lambda settings: settings, "settings").ok()
-    'settings'
+    Raises:
+        DiskUnusableError: the data folder can't be used.
+        ForeignLogError: it holds the log of another program.
     """
-    import time
-
-    from sumacloom.errors import Err, Ok, mishap
-    from sumacloom.logs import Scribe
-
-    for _try in range(DISK_TRIES):
+    for attempt in range(1, DISK_ATTEMPTS + 1):
         try:
-            return Ok(kind(settings))
+            return process_class(settings)
         except OSError as error:
-            found = mishap("disk_unusable", f"the data folder can't be used: {error}")
-            if error.errno not in (errno.EIO, errno.ENOSPC):
-                break
-            Scribe("registrar").warn("the data folder can't be used: %s; it is tried again", error)
-            time.sleep(DISK_PAUSE_S)
-        except Exception as error:
-            if not hasattr(error, "found"):
-                raise
-            return Err(error.found)
-    return Err(found)
+            failure = DiskUnusableError(f"the data folder can't be used: {error}")
+            if error.errno not in TRANSIENT_DISK_ERRORS or attempt == DISK_ATTEMPTS:
+                raise failure from error
+            logger.warning("the data folder can't be used: %s; it is tried again", error)
+            time.sleep(DISK_RETRY_S)
+    raise AssertionError("unreachable: the last attempt returns or raises")
--- a/sumacloom/errors.py
+++ b/sumacloom/errors.py
@@ -1,111 +1,305 @@
-"""Numbered result codes; docs/results.md holds the same table."""
+"""Typed errors, each with a fixed number, an HTTP status and an exit code, as in `docs/results.md`.
 
-from typing import NamedTuple
+An error is raised where it is found and caught at the border that answers: the HTTP handler of a
+controller, a command of the command line, the start of a daemon. Numbers and names are part of the
+admin API and never change.
+"""
 
-from result import Err, Ok, Result  # noqa: F401  (the one place that names the library)
+from typing import Any, ClassVar
 
 
-class Mishap(NamedTuple):
-    """A numbered refusal with one sentence for people.
+class SumacloomError(Exception):
+    """Base of all errors of the project.
 
-    >>> mishap("stale_match", "the current generation is 7").code
-    1202
+    Attributes:
+        code: the number that operators look up.
+        name: the identifier in replies of the admin API.
+        http_status: the status of a reply; 0 where the error never becomes one.
+        exit_code: what a program ends with.
+        default_message: the sentence used when none is given: the first of the class's own comment.
     """
 
-    code: int
-    name: str
-    status: int
-    sentence: str
+    code: ClassVar[int] = 0
+    name: ClassVar[str] = ""
+    http_status: ClassVar[int] = 0
+    exit_code: ClassVar[int] = 1
+    default_message: ClassVar[str] = ""
 
-    def body(self) -> dict:
-        """The JSON form that the admin API gives.
+    def __init_subclass__(cls, *, code: int, name: str, http_status: int = 0, exit_code: int):
+        super().__init_subclass__()
+        cls.code, cls.name, cls.http_status, cls.exit_code = code, name, http_status, exit_code
+        sentence = (cls.__doc__ or "").removesuffix(".")
+        cls.default_message = sentence[:1].lower() + sentence[1:]
 
-        >>> mishap("no_route").body()["code"]
+    def __init__(self, message: str = ""):
+        super().__init__(message or self.default_message)
+
+    @property
+    def message(self) -> str:
+        """One sentence for people."""
+        return str(self.args[0])
+
+    def to_json(self) -> dict[str, Any]:
+        """The form that the admin API replies with.
+
+        >>> NotFoundError().to_json()["code"]
         1404
         """
-        return {"code": self.code, "error": self.name, "sentence": self.sentence}
-
-
-TABLE = {
-    # name: (code, HTTP status, exit code, sentence)
-    "settings_missing": (1001, 0, 2, "the settings file can't be read"),
-    "settings_invalid": (1002, 0, 2, "the settings file is invalid"),
-    "deploy_invalid": (1003, 0, 2, "this role can't run on this machine"),
-    "address_unusable": (1005, 0, 3, "an address of the settings can't be served"),
-    "disk_unusable": (1004, 0, 3, "the data folder can't be used"),
-    "ledger_foreign": (1006, 0, 3, "the ledger holds what is not ours"),
-    "ledger_damaged": (1007, 0, 3, "the ledger has lost part of its memory"),
-    "unreadable": (1101, 400, 4, "the body can't be read as a blueprint"),
-    "unknown_service": (1102, 400, 4, "a route names an unknown service"),
-    "same_place": (1103, 400, 4, "two routes share a host and a prefix"),
-    "zero_timeout": (1104, 400, 4, "a tmoMs must be above 0"),
-    "old_generation": (1105, 400, 4, "ver is not above the current one"),
-    "invalid_field": (1106, 400, 4, "a field of the blueprint is invalid"),
-    "match_missing": (1201, 428, 4, "If-Match must carry the generation built on"),
-    "stale_match": (1202, 412, 5, "another generation is current"),
-    "nothing_to_undo": (1203, 409, 5, "nothing is kept to go back to"),
-    "no_majority": (1301, 503, 6, "no majority of the registrars answered in time"),
-    "out_of_touch": (
-        1310,
-        503,
-        6,
-        "this registrar hears no majority of the registrars: another may",
-    ),
-    "own_view": (1311, 0, 7, "what is shown is one registrar's own view"),
-    "rejoining": (1302, 503, 6, "this registrar is still learning its state"),
-    "forgotten": (1312, 503, 6, "it is not known any more whether this order was taken"),
-    "caller_gone": (1313, 503, 6, "the caller had gone before its order was proposed"),
-    "stood_still": (
-        1314,
-        503,
-        6,
-        "this registrar has just stood still, and can't tell how old the order is",
-    ),
-    "unreachable": (1303, 0, 6, "no registrar could be reached"),
-    "garbled": (1304, 0, 6, "a daemon answered garbage"),
-    "bad_request": (1400, 400, 4, "the request can't be read"),
-    "no_route": (1404, 404, 4, "there is nothing at this path"),
-    "wrong_method": (1405, 405, 4, "this path does not take this method"),
-    "too_large": (1413, 413, 4, "the body is too large"),
-    "unknown_zone": (1422, 422, 4, "there is no such zone"),
-    "unknown_database": (1425, 422, 4, "the blueprint has no such database"),
-    "lanes_waiting": (1305, 0, 6, "a counter does not hold the lanes yet"),
-    "undo_waiting": (1306, 0, 6, "a node does not hold the restored blueprint yet"),
-    "listeners_waiting": (1307, 0, 6, "a node does not hold the list of listeners yet"),
-    "listener_exists": (1426, 409, 5, "another listens under this name"),
-    "no_listener": (1427, 404, 4, "there is no such listener"),
-    "too_many_listeners": (1428, 422, 4, "there are too many listeners"),
-    "cursor_ahead": (1429, 422, 4, "the cursor is ahead of the feed"),
-    "cursor_behind": (1430, 410, 5, "the cursor is below what is kept"),
-    "lapsed": (1431, 410, 5, "the listener was too slow and has missed items"),
-    "effect_unwritable": (1432, 0, 3, "the items can't be written where they should go"),
-    "invalid_access": (1433, 400, 4, "the access list is invalid"),
-    "unknown_region": (1434, 422, 4, "there is no such region"),
-    "no_access": (1435, 404, 4, "no access list is in force"),
-    "unknown_mode": (1436, 422, 4, "there is no such pool mode"),
-    "voters_disputed": (1315, 0, 6, "the first start's voters differ between registrars"),
-    "pooling_waiting": (1309, 0, 6, "a node does not hold the pool modes yet"),
-    "access_waiting": (1308, 0, 6, "a node does not hold the access list yet"),
-    "invalid_beat": (1423, 422, 4, "the beat lacks a field or has a wrong one"),
-    "bad_query": (1424, 400, 4, "the query can't be run"),
-    "usage": (1500, 0, 2, "the command line can't be understood"),
-}
+        return {"code": self.code, "error": self.name, "sentence": self.message}
 
 
-def mishap(name: str, sentence: str = "") -> Mishap:
-    """Makes the mishap of that name, with its own sentence or the table's.
+class SettingsMissingError(SumacloomError, code=1001, name="settings_missing", exit_code=2):
+    """The settings file can't be read."""
 
-    >>> mishap("unknown_zone", "there is no zone 'x'").sentence
-    "there is no zone 'x'"
-    """
-    code, status, _exit_code, text = TABLE[name]
-    return Mishap(code, name, status, sentence or text)
 
+class SettingsInvalidError(SumacloomError, code=1002, name="settings_invalid", exit_code=2):
+    """The settings file is invalid."""
 
-def exit_code(name: str) -> int:
-    """The exit code a program ends with after that mishap.
 
-    >>> exit_code("settings_invalid")
-    2
-    """
-    return TABLE[name][2]
+class DeploymentInvalidError(SumacloomError, code=1003, name="deploy_invalid", exit_code=2):
+    """This role can't run on this machine."""
+
+
+class AddressUnusableError(SumacloomError, code=1005, name="address_unusable", exit_code=3):
+    """An address of the settings can't be served."""
+
+
+class DiskUnusableError(SumacloomError, code=1004, name="disk_unusable", exit_code=3):
+    """The data folder can't be used."""
+
+
+class ForeignLogError(SumacloomError, code=1006, name="ledger_foreign", exit_code=3):
+    """The write-ahead log holds records of another program."""
+
+
+class DamagedLogError(SumacloomError, code=1007, name="ledger_damaged", exit_code=3):
+    """The write-ahead log has lost synced records."""
+
+
+class UnreadableConfigurationError(
+    SumacloomError, code=1101, name="unreadable", http_status=400, exit_code=4
+):
+    """The body can't be read as a configuration."""
+
+
+class UnknownServiceError(
+    SumacloomError, code=1102, name="unknown_service", http_status=400, exit_code=4
+):
+    """A route names an unknown service."""
+
+
+class DuplicateRouteError(
+    SumacloomError, code=1103, name="same_place", http_status=400, exit_code=4
+):
+    """Two routes share a host and a prefix."""
+
+
+class ZeroTimeoutError(
+    SumacloomError, code=1104, name="zero_timeout", http_status=400, exit_code=4
+):
+    """A tmoMs must be above 0."""
+
+
+class OldVersionError(
+    SumacloomError, code=1105, name="old_generation", http_status=400, exit_code=4
+):
+    """Ver is not above the current one."""
+
+
+class InvalidFieldError(
+    SumacloomError, code=1106, name="invalid_field", http_status=400, exit_code=4
+):
+    """A field of the configuration is invalid."""
+
+
+class MatchMissingError(
+    SumacloomError, code=1201, name="match_missing", http_status=428, exit_code=4
+):
+    """The header If-Match must carry the version built on."""
+
+
+class StaleVersionError(
+    SumacloomError, code=1202, name="stale_match", http_status=412, exit_code=5
+):
+    """Another version is current."""
+
+
+class NothingToUndoError(
+    SumacloomError, code=1203, name="nothing_to_undo", http_status=409, exit_code=5
+):
+    """No earlier configuration is kept."""
+
+
+class NoQuorumError(SumacloomError, code=1301, name="no_majority", http_status=503, exit_code=6):
+    """No quorum of the controllers answered in time."""
+
+
+class NotInQuorumError(
+    SumacloomError, code=1310, name="out_of_touch", http_status=503, exit_code=6
+):
+    """This controller has no quorum: another may."""
+
+
+class LocalViewError(SumacloomError, code=1311, name="own_view", exit_code=7):
+    """What is shown is one controller's own view."""
+
+
+class RecoveringError(SumacloomError, code=1302, name="rejoining", http_status=503, exit_code=6):
+    """This controller is still recovering its state."""
+
+
+class OrderForgottenError(
+    SumacloomError, code=1312, name="forgotten", http_status=503, exit_code=6
+):
+    """It is no longer known whether this order was taken."""
+
+
+class CallerGoneError(SumacloomError, code=1313, name="caller_gone", http_status=503, exit_code=6):
+    """The caller had closed its connection before its order was proposed."""
+
+
+class ProcessStalledError(
+    SumacloomError, code=1314, name="stood_still", http_status=503, exit_code=6
+):
+    """This process was stalled a moment ago, and can't tell how old the order is."""
+
+
+class ControllersUnreachableError(SumacloomError, code=1303, name="unreachable", exit_code=6):
+    """No controller could be reached."""
+
+
+class GarbledReplyError(SumacloomError, code=1304, name="garbled", exit_code=6):
+    """A daemon answered with an unreadable body."""
+
+
+class BadRequestError(SumacloomError, code=1400, name="bad_request", http_status=400, exit_code=4):
+    """The request can't be read."""
+
+
+class NotFoundError(SumacloomError, code=1404, name="no_route", http_status=404, exit_code=4):
+    """There is nothing at this path."""
+
+
+class MethodNotAllowedError(
+    SumacloomError, code=1405, name="wrong_method", http_status=405, exit_code=4
+):
+    """This path does not take this method."""
+
+
+class BodyTooLargeError(SumacloomError, code=1413, name="too_large", http_status=413, exit_code=4):
+    """The body is too large."""
+
+
+class UnknownZoneError(
+    SumacloomError, code=1422, name="unknown_zone", http_status=422, exit_code=4
+):
+    """There is no such zone."""
+
+
+class UnknownDatabaseError(
+    SumacloomError, code=1425, name="unknown_database", http_status=422, exit_code=4
+):
+    """The configuration has no such database."""
+
+
+class PriorityPendingError(SumacloomError, code=1305, name="lanes_waiting", exit_code=6):
+    """A pooler does not hold the priority databases yet."""
+
+
+class UndoPendingError(SumacloomError, code=1306, name="undo_waiting", exit_code=6):
+    """A node does not hold the restored configuration yet."""
+
+
+class SubscribersPendingError(SumacloomError, code=1307, name="listeners_waiting", exit_code=6):
+    """A node does not hold the list of subscribers yet."""
+
+
+class SubscriberExistsError(
+    SumacloomError, code=1426, name="listener_exists", http_status=409, exit_code=5
+):
+    """Another subscriber has this name."""
+
+
+class SubscriberNotFoundError(
+    SumacloomError, code=1427, name="no_listener", http_status=404, exit_code=4
+):
+    """There is no such subscriber."""
+
+
+class TooManySubscribersError(
+    SumacloomError, code=1428, name="too_many_listeners", http_status=422, exit_code=4
+):
+    """There are too many subscribers."""
+
+
+class OffsetAheadError(
+    SumacloomError, code=1429, name="cursor_ahead", http_status=422, exit_code=4
+):
+    """The offset is ahead of the feed."""
+
+
+class OffsetBehindError(
+    SumacloomError, code=1430, name="cursor_behind", http_status=410, exit_code=5
+):
+    """The offset is below what is kept."""
+
+
+class SubscriberLapsedError(SumacloomError, code=1431, name="lapsed", http_status=410, exit_code=5):
+    """The subscriber was too slow and has missed items."""
+
+
+class OutputUnwritableError(SumacloomError, code=1432, name="effect_unwritable", exit_code=3):
+    """The items can't be written where they should go."""
+
+
+class InvalidAccessListError(
+    SumacloomError, code=1433, name="invalid_access", http_status=400, exit_code=4
+):
+    """The access list is invalid."""
+
+
+class UnknownRegionError(
+    SumacloomError, code=1434, name="unknown_region", http_status=422, exit_code=4
+):
+    """There is no such region."""
+
+
+class NoAccessListError(SumacloomError, code=1435, name="no_access", http_status=404, exit_code=4):
+    """No access list is in force."""
+
+
+class UnknownPoolModeError(
+    SumacloomError, code=1436, name="unknown_mode", http_status=422, exit_code=4
+):
+    """There is no such pool mode."""
+
+
+class VotersDisputedError(SumacloomError, code=1315, name="voters_disputed", exit_code=6):
+    """The first start's voters differ between registrars."""
+
+
+class PoolModesPendingError(SumacloomError, code=1309, name="pooling_waiting", exit_code=6):
+    """A node does not hold the pool modes yet."""
+
+
+class AccessListPendingError(SumacloomError, code=1308, name="access_waiting", exit_code=6):
+    """A node does not hold the access list yet."""
+
+
+class InvalidHeartbeatError(
+    SumacloomError, code=1423, name="invalid_beat", http_status=422, exit_code=4
+):
+    """The heartbeat lacks a field or has a wrong one."""
+
+
+class InvalidQueryError(SumacloomError, code=1424, name="bad_query", http_status=400, exit_code=4):
+    """The query can't be run."""
+
+
+class UsageError(SumacloomError, code=1500, name="usage", exit_code=2):
+    """The command line can't be understood."""
+
+
+ERRORS_BY_NAME: dict[str, type[SumacloomError]] = {
+    error.name: error for error in SumacloomError.__subclasses__()
+}
--- a/sumacloom/http.py
+++ b/sumacloom/http.py
@@ -3,48 +3,60 @@
 import json
 import socket
 import struct
-from collections.abc import Callable
+from collections.abc import Awaitable, Callable
 from functools import partial
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 import curio
 import h11
 
-MOST_BODY = 4 << 20
-MOST_HEAD = 16 << 10
+from sumacloom.errors import BadRequestError, BodyTooLargeError, SumacloomError
+
+MAX_BODY_BYTES = 4 << 20
+MAX_HEAD_BYTES = 16 << 10
+RECEIVE_BYTES = 65536
 IDLE_S = 30.0
-AGAIN_S = "1"  # when a refusal for now may be tried again at the same place; at another, at once
 READ_S = 8.0
-LINGER_S, MOST_LINGER = 0.5, 1 << 20
+RETRY_AFTER_S = (
+    "1"  # when a refusal for now may be tried again at the same place; elsewhere, at once
+)
+LINGER_S, MAX_LINGER_BYTES = 0.5, 1 << 20
+UNAVAILABLE = 503
+NO_REPLY = 0  # stands for a status where no clear reply came
 
 
 class Request(NamedTuple):
-    """A whole request.
-
-    >>> Request("GET", "/a?b=1", {}, b"").path
-    '/a?b=1'
-    """
+    """A whole request; header names are in lower case."""
 
     method: str
     path: str
-    headers: dict
+    headers: dict[str, str]
     body: bytes
-    gone: Callable[[], bool] = bool  # whether the caller has ended its connection meanwhile
+    is_abandoned: Callable[[], bool] = (
+        bool  # whether the caller has closed its connection meanwhile
+    )
 
 
 class Reply(NamedTuple):
-    """What a handler gives back.
-
-    >>> Reply(200).status
-    200
-    """
+    """What a handler returns."""
 
     status: int
     body: bytes = b""
-    headers: tuple = ()
+    headers: tuple[tuple[str, str], ...] = ()
 
 
-def json_reply(status: int, data, headers: tuple = ()) -> Reply:
+class Response(NamedTuple):
+    """What a call got back; the status is `NO_REPLY` where no clear reply came in time."""
+
+    status: int
+    headers: dict[str, str]
+    body: bytes
+
+
+Handler = Callable[[Request], Awaitable[Reply]]
+
+
+def json_reply(status: int, data: Any, headers: tuple[tuple[str, str], ...] = ()) -> Reply:
     """A reply with a JSON body.
 
     >>> json_reply(200, {"a": 1}).body
@@ -53,98 +65,98 @@
     return Reply(status, json.dumps(data).encode(), headers)
 
 
-def mishap_reply(found) -> Reply:
-    """A mishap as a reply.
+def error_reply(error: SumacloomError, retry_after_s: str = RETRY_AFTER_S) -> Reply:
+    """An error as a reply.
 
-    >>> from sumacloom.errors import mishap
-    >>> mishap_reply(mishap("no_route")).status
+    >>> from sumacloom.errors import NotFoundError
+    >>> error_reply(NotFoundError()).status
     404
     """
-    return json_reply(
-        found.status, found.body(), (("Retry-After", AGAIN_S),) if found.status == 503 else ()
-    )
+    unavailable = error.http_status == UNAVAILABLE
+    headers = (("Retry-After", retry_after_s),) if unavailable else ()
+    return json_reply(error.http_status, error.to_json(), headers)
 
 
-async def serve_wire(sock, handler, most_body: int = MOST_BODY) -> None:
-    """Serves one connection until it ends; `handler` is async and takes a Request."""
-    machine = h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_HEAD)
+async def serve_connection(sock: Any, handler: Handler, max_body: int = MAX_BODY_BYTES) -> None:
+    """Serves one connection until it ends."""
+    machine = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
     try:
         async with sock:
             while True:
-                reply = await one_exchange(sock, machine, handler, most_body)
+                reply = await _serve_request(sock, machine, handler, max_body)
                 if reply is None:
                     return
-                await send_reply(sock, machine, reply)
-                if (
-                    machine.our_state is h11.MUST_CLOSE
-                    or machine.states[h11.CLIENT] is not h11.DONE
-                ):
-                    await read_out(sock)
+                await _send_reply(sock, machine, reply)
+                client_done = machine.states[h11.CLIENT] is h11.DONE
+                if machine.our_state is h11.MUST_CLOSE or not client_done:
+                    await _drain(sock)
                     return
                 machine.start_next_cycle()
     except (OSError, h11.LocalProtocolError, curio.TaskTimeout):
         return
 
 
-async def read_out(sock) -> None:
+async def _drain(sock: Any) -> None:
     """Reads a little of what still comes, so that closing doesn't reset the reply on its way."""
     sock._socket.shutdown(socket.SHUT_WR)
     async with curio.ignore_after(LINGER_S):
-        for _chunk in range(MOST_LINGER >> 16):
-            if not await sock.recv(65536):
+        for _chunk in range(MAX_LINGER_BYTES // RECEIVE_BYTES):
+            if not await sock.recv(RECEIVE_BYTES):
                 return
 
 
-async def one_exchange(sock, machine, handler, most_body: int) -> Reply | None:
+async def _serve_request(
+    sock: Any, machine: h11.Connection, handler: Handler, max_body: int
+) -> Reply | None:
     """Reads one request and has it handled; None at the end of the connection."""
-    request, body = None, []
+    request: h11.Request | None = None
+    chunks: list[bytes] = []
     size = 0
     while True:
         try:
             event = machine.next_event()
         except h11.RemoteProtocolError as error:
-            return json_reply(
-                error.error_status_hint,
-                {"code": 1400, "error": "bad_request", "sentence": str(error)},
-            )
+            refusal = BadRequestError(str(error))
+            return json_reply(error.error_status_hint, refusal.to_json())
         if event is h11.NEED_DATA:
             async with curio.timeout_after(IDLE_S if request is None else READ_S):
-                data = await sock.recv(65536)
+                data = await sock.recv(RECEIVE_BYTES)
             machine.receive_data(data)
         elif isinstance(event, h11.Request):
             request = event
             if machine.they_are_waiting_for_100_continue:
-                await sock.sendall(
-                    machine.send(h11.InformationalResponse(status_code=100, headers=[]))
-                )
+                go_on = h11.InformationalResponse(status_code=100, headers=[])
+                await sock.sendall(machine.send(go_on))
         elif isinstance(event, h11.Data):
             size += len(event.data)
-            if size > most_body:
-                return json_reply(
-                    413, {"code": 1413, "error": "too_large", "sentence": "the body is too large"}
-                )
-            body.append(bytes(event.data))
-        elif isinstance(event, h11.EndOfMessage):
-            headers = {
-                name.decode("latin-1"): value.decode("latin-1") for name, value in request.headers
-            }
-            return await handler(
-                Request(
-                    request.method.decode(),
-                    request.target.decode("latin-1"),
-                    headers,
-                    b"".join(body),
-                    partial(hung_up, sock._socket),
-                )
-            )
+            if size > max_body:
+                return error_reply(BodyTooLargeError())
+            chunks.append(bytes(event.data))
+        elif isinstance(event, h11.EndOfMessage) and request is not None:
+            return await handler(_request_of(request, b"".join(chunks), sock))
         else:
             return None
 
 
-def hung_up(sock: socket.socket) -> bool:
-    """Whether the other end has closed or reset a connection; what it sent before and nobody read hides a close.
+def _headers_of(event: h11.Request | h11.Response) -> dict[str, str]:
+    return {name.decode("latin-1"): value.decode("latin-1") for name, value in event.headers}
+
 
-    >>> one, other = socket.socketpair(); before = hung_up(one); other.close(); before, hung_up(one)
+def _request_of(event: h11.Request, body: bytes, sock: Any) -> Request:
+    return Request(
+        event.method.decode(),
+        event.target.decode("latin-1"),
+        _headers_of(event),
+        body,
+        partial(has_hung_up, sock._socket),
+    )
+
+
+def has_hung_up(sock: socket.socket) -> bool:
+    """Whether the other end has closed or reset a connection; bytes that nobody has read hide a close.
+
+    >>> one, other = socket.socketpair(); before = has_hung_up(one); other.close()
+    >>> before, has_hung_up(one)
     (False, True)
     """
     try:
@@ -155,74 +167,93 @@
         return True
 
 
-async def send_reply(sock, machine, reply: Reply) -> None:
-    """Sends a whole reply."""
+async def _send_reply(sock: Any, machine: h11.Connection, reply: Reply) -> None:
     headers = [("Content-Length", str(len(reply.body))), *reply.headers]
     if reply.body:
         headers.append(("Content-Type", "application/json"))
-    data = machine.send(h11.Response(status_code=reply.status, headers=headers))
-    data += machine.send(h11.Data(data=reply.body)) + machine.send(h11.EndOfMessage())
+    data = machine.send(h11.Response(status_code=reply.status, headers=headers)) or b""
+    data += machine.send(h11.Data(data=reply.body)) or b""
+    data += machine.send(h11.EndOfMessage()) or b""
     async with curio.timeout_after(READ_S):
         await sock.sendall(data)
 
 
 async def call(
-    dial,
+    dial: Callable[..., Awaitable[Any]],
     address: tuple[str, int],
     method: str,
     path: str,
     body: bytes = b"",
-    headers: tuple = (),
-    cutoff_s: float = 1.0,
-) -> tuple[int, dict, bytes]:
-    """One call; (0, {}, b"") when no clear reply comes in time."""
-    machine = h11.Connection(h11.CLIENT)
+    headers: tuple[tuple[str, str], ...] = (),
+    timeout_s: float = 1.0,
+) -> Response:
+    """One call; the status is `NO_REPLY` when no clear reply comes in time.
+
+    Args:
+        dial: opens the connection, given host and port.
+        address: host and port.
+        method: the HTTP method.
+        path: the target.
+        body: JSON, if any.
+        headers: besides Host, Content-Length, Content-Type and Connection.
+        timeout_s: for connection and reply together.
+    """
     try:
-        async with curio.timeout_after(cutoff_s):
+        async with curio.timeout_after(timeout_s):
             sock = await dial(*address)
             async with sock:
-                lines = [
-                    ("Host", f"{address[0]}:{address[1]}"),
-                    ("Content-Length", str(len(body))),
-                    ("Connection", "close"),
-                    *headers,
-                ]
-                if body:
-                    lines.append(("Content-Type", "application/json"))
-                data = machine.send(h11.Request(method=method, target=path, headers=lines))
-                if body:
-                    data += machine.send(h11.Data(data=body))
-                try:
-                    await sock.sendall(data + machine.send(h11.EndOfMessage()))
-                    return await read_reply(sock, machine)
-                except curio.CancelledError:
-                    # given up: a reset takes back what a cut still holds up, so that it can't land late
-                    sock._socket.setsockopt(
-                        socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
-                    )
-                    raise
+                return await _exchange(sock, address, method, path, body, headers)
     except (OSError, curio.TaskTimeout, h11.ProtocolError):
-        return 0, {}, b""
+        return Response(NO_REPLY, {}, b"")
 
 
-async def read_reply(sock, machine) -> tuple[int, dict, bytes]:
-    """Reads one whole reply."""
-    response, body, size = None, [], 0
+async def _exchange(
+    sock: Any,
+    address: tuple[str, int],
+    method: str,
+    path: str,
+    body: bytes,
+    headers: tuple[tuple[str, str], ...],
+) -> Response:
+    machine = h11.Connection(h11.CLIENT)
+    lines = [
+        ("Host", f"{address[0]}:{address[1]}"),
+        ("Content-Length", str(len(body))),
+        ("Connection", "close"),
+        *headers,
+    ]
+    if body:
+        lines.append(("Content-Type", "application/json"))
+    data = machine.send(h11.Request(method=method, target=path, headers=lines)) or b""
+    if body:
+        data += machine.send(h11.Data(data=body)) or b""
+    data += machine.send(h11.EndOfMessage()) or b""
+    try:
+        await sock.sendall(data)
+        return await _read_response(sock, machine)
+    except curio.CancelledError:
+        # given up: a reset takes back what a partition still holds up, so that it can't land late
+        linger_none = struct.pack("ii", 1, 0)
+        sock._socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger_none)
+        raise
+
+
+async def _read_response(sock: Any, machine: h11.Connection) -> Response:
+    response: h11.Response | None = None
+    chunks: list[bytes] = []
+    size = 0
     while True:
         event = machine.next_event()
         if event is h11.NEED_DATA:
-            machine.receive_data(await sock.recv(65536))
+            machine.receive_data(await sock.recv(RECEIVE_BYTES))
         elif isinstance(event, h11.Response):
             response = event
         elif isinstance(event, h11.Data):
             size += len(event.data)
-            if size > MOST_BODY:
+            if size > MAX_BODY_BYTES:
                 raise OSError("the reply is too large")
-            body.append(bytes(event.data))
-        elif isinstance(event, h11.EndOfMessage):
-            headers = {
-                name.decode("latin-1"): value.decode("latin-1") for name, value in response.headers
-            }
-            return response.status_code, headers, b"".join(body)
+            chunks.append(bytes(event.data))
+        elif isinstance(event, h11.EndOfMessage) and response is not None:
+            return Response(response.status_code, _headers_of(response), b"".join(chunks))
         elif isinstance(event, h11.ConnectionClosed):
-            return 0, {}, b""
+            return Response(NO_REPLY, {}, b"")
--- a/sumacloom/line_protocol.py
+++ b/sumacloom/line_protocol.py
@@ -4,12 +4,12 @@
 
 
 class LineSplitter:
-    """Cuts bytes into lines; a line past the limit sets `overflow` and ends the cutting.
+    r"""Cuts bytes into lines; a line past the limit sets `overflow` and ends the cutting.
 
     >>> splitter = LineSplitter()
-    >>> splitter.feed(b"LOGIN a b\\r\\nQU")
+    >>> splitter.feed(b"LOGIN a b\r\nQU")
     ['LOGIN a b']
-    >>> splitter.feed(b"IT\\r\\n")
+    >>> splitter.feed(b"IT\r\n")
     ['QUIT']
     """
 
@@ -21,10 +21,10 @@
         self.overflow = False
 
     def feed(self, data: bytes) -> list[str]:
-        """Takes bytes, gives whole lines as Latin-1 text, so every byte survives.
+        r"""Takes bytes, gives whole lines as Latin-1 text, so every byte survives.
 
-        >>> LineSplitter().feed(b"\\xff\\r\\n")
-        ['\\xff']
+        >>> LineSplitter().feed(b"\xff\r\n")
+        ['\xff']
         """
         if self.overflow:
             return []
@@ -37,18 +37,18 @@
 
 
 def encode(*lines: str) -> bytes:
-    """Lines as bytes on the wire.
+    r"""Lines as bytes on the wire.
 
     >>> encode("READY I -")
-    b'READY I -\\r\\n'
+    b'READY I -\r\n'
     """
     return "".join(line + "\r\n" for line in lines).encode("latin-1")
 
 
 def is_clean(line: str) -> bool:
-    """Whether a line holds no control character that a peer could take for an end.
+    r"""Whether a line holds no control character that a peer could take for an end.
 
-    >>> is_clean("FETCH a"), is_clean("FETCH a\\nPUT b c")
+    >>> is_clean("FETCH a"), is_clean("FETCH a\nPUT b c")
     (True, False)
     """
     return not ("\n" in line or "\r" in line or "\0" in line)
--- a/sumacloom/pooler/controller_discovery.py
+++ b/sumacloom/pooler/controller_discovery.py
@@ -6,7 +6,7 @@
 from sumacloom.transport.link import Link, dial
 
 
-class Places:
+class ControllerDiscovery:
     """The part of a counter's membership that dials registrars and other counters."""
 
     async def measure(self) -> None:
@@ -16,12 +16,12 @@
             started = self.clock()
             try:
                 sock = await dial(*split_address(address), 0.4)
-                self.nearness[address] = self.clock() - started
+                self.latency[address] = self.clock() - started
                 await sock.close()
             except OSError:
                 pass
 
-        tasks = [await curio.spawn(time_one, address) for address in self.registrars]
+        tasks = [await curio.spawn(time_one, address) for address in self.controllers]
         for task in tasks:
             await task.join()
 
@@ -29,16 +29,16 @@
         """Dials a daemon and says hello."""
         started = self.clock()
         sock = await dial(*split_address(address), 0.5)
-        self.nearness[address] = self.clock() - started
+        self.latency[address] = self.clock() - started
         link = Link(sock)
         link.send(self.hello())
         return link
 
-    async def nearer_is_back(self) -> bool:
+    async def nearer_controller_answers(self) -> bool:
         """Whether a clearly nearer registrar takes links again."""
-        mine = self.nearness.get(self.attached, 1.0)
+        mine = self.latency.get(self.controller_address, 1.0)
         nearer = [
-            address for address in self.registrars if self.nearness.get(address, 0.0) < mine / 4
+            address for address in self.controllers if self.latency.get(address, 0.0) < mine / 4
         ]
         for address in nearer:
             started = self.clock()
@@ -46,16 +46,16 @@
                 sock = await dial(*split_address(address), 0.3)
             except OSError:
                 continue
-            self.nearness[address] = self.clock() - started
+            self.latency[address] = self.clock() - started
             await sock.close()
-            if self.nearness[address] < mine / 4:
+            if self.latency[address] < mine / 4:
                 return True
         return False
 
-    async def another_answers(self) -> bool:
+    async def other_controller_answers(self) -> bool:
         """Whether some other registrar takes links."""
-        for address in self.registrars:
-            if address != self.attached:
+        for address in self.controllers:
+            if address != self.controller_address:
                 try:
                     sock = await dial(*split_address(address), 0.3)
                 except OSError:
--- a/sumacloom/pooler/core.py
+++ b/sumacloom/pooler/core.py
@@ -4,99 +4,103 @@
 ("send", key, bytes), ("shut", key), ("dial", key, host, port).
 """
 
+import logging
 from bisect import insort
 
-from sumacloom.configuration.model import Blueprint
+from sumacloom.configuration.model import Configuration
 from sumacloom.line_protocol import encode
-from sumacloom.logs import Scribe
 from sumacloom.pooler import completion, connection_loss, server_results
-from sumacloom.pooler.admission import LOGIN, Gate
-from sumacloom.pooler.delivery import Spooling, holds_back, judge
-from sumacloom.pooler.pending_statement import Errand
-from sumacloom.pooler.pool_mode import Pooling
+from sumacloom.pooler.admission import LOGIN, AccessControl
+from sumacloom.pooler.delivery import DeliveryTracker, hold_for_intent, judge
+from sumacloom.pooler.pending_statement import PendingStatement
+from sumacloom.pooler.pool_mode import PoolModes
 from sumacloom.pooler.routing import compile_rules
-from sumacloom.pooler.server_pools import Yard
-from sumacloom.pooler.session import Session, decode, wire_text
-from sumacloom.pooler.statement_handlers import SORTS
+from sumacloom.pooler.server_pools import ServerPools
+from sumacloom.pooler.session import Session, decode, server_text
+from sumacloom.pooler.statement_handlers import HANDLERS
 from sumacloom.settings import Settings
-from sumacloom.state_machines import load_chart
+from sumacloom.state_machines import load_state_machine
 
-scribe = Scribe("floor")
-LEAVING = load_chart("graceful_shutdown")
+logger = logging.getLogger(__name__)
+SHUTDOWN = load_state_machine("graceful_shutdown")
 
 
-class Floor:
+class PoolerCore:
     """All sessions and wires of one counter."""
 
-    def __init__(self, settings: Settings, life: int = 0):
+    def __init__(self, settings: Settings, incarnation: int = 0):
         self.settings = settings
-        self.spooling = Spooling(settings.node, life)
-        self.yard = Yard(settings)
-        self.sessions, self.wires = {}, {}
-        self.waitlists = {}
+        self.delivery = DeliveryTracker(settings.node, incarnation)
+        self.pools = ServerPools(settings)
+        self.sessions, self.connections = {}, {}
+        self.queues = {}
         self.active = set()
-        self.rules, self.blueprint = None, None
-        self.leaving, self.leaving_at = LEAVING.start, 0.0
-        self.effects, self.mishaps = [], []
-        self.warmed_at, self.ticked_at, self.stood_still = -1e9, None, False
-        self.lanes, self.unsure, self.alone = set(), False, False
-        self.gate, self.pooling = Gate(), Pooling(settings.pooling)
+        self.rules, self.configuration = None, None
+        self.leaving, self.leaving_at = SHUTDOWN.start, 0.0
+        self.effects, self.failed_backends = [], []
+        self.warmed_at, self.ticked_at, self.stalled = -1e9, None, False
+        self.priority_databases, self.unsure, self.isolated = set(), False, False
+        self.access_control, self.pool_modes = AccessControl(), PoolModes(settings.pooling)
 
     # ------------------------------------------------------------ news
-    def take_blueprint(self, blueprint: Blueprint, now: float) -> None:
+    def apply_configuration(self, configuration: Configuration, now: float) -> None:
         """Takes a newer blueprint; an older one changes nothing.
 
-        >>> floor = Floor(Settings("n", "r", "10.0.0.1", "z"))
-        >>> floor.take_blueprint(Blueprint(3), 0.0); floor.take_blueprint(Blueprint(2), 0.0); floor.blueprint.ver
+        >>> core = PoolerCore(Settings("n", "r", "10.0.0.1", "z"))
+        >>> core.apply_configuration(Configuration(3), 0.0); core.apply_configuration(Configuration(2), 0.0); core.configuration.ver
         3
         """
-        if self.blueprint and blueprint.ver <= self.blueprint.ver:
+        if self.configuration and configuration.ver <= self.configuration.ver:
             return
-        self.blueprint = blueprint
-        self.rules = compile_rules(blueprint)
-        self.yard.services = {service.name: service for service in blueprint.svcs}
-        scribe.say("the blueprint %d is in force", blueprint.ver)
-        completion.draw_again(self, now)
+        self.configuration = configuration
+        self.rules = compile_rules(configuration)
+        self.pools.services = {service.name: service for service in configuration.svcs}
+        logger.info("the blueprint %d is in force", configuration.ver)
+        completion.reroute_queued(self, now)
 
-    def take_records(self, records: list, now: float) -> None:
+    def apply_records(self, records: list, now: float) -> None:
         """Takes backends' records from the news.
 
-        >>> Floor(Settings("n", "r", "10.0.0.1", "z")).take_records([], 0.0)
+        >>> PoolerCore(Settings("n", "r", "10.0.0.1", "z")).apply_records([], 0.0)
         """
         for record in records:
-            for wire in self.yard.take_record(record, now):
-                connection_loss.wire_lost(self, wire, "the backend is gone", now, report=False)
-        for service in self.waitlists:
-            self.pump(service, now)
+            for connection in self.pools.apply_record(record, now):
+                connection_loss.connection_lost(
+                    self, connection, "the backend is gone", now, report=False
+                )
+        for service in self.queues:
+            self.dispatch(service, now)
 
     @property
     def ready(self) -> bool:
         """Whether this counter calls itself ready.
 
-        >>> Floor(Settings("n", "r", "10.0.0.1", "z")).ready
+        >>> PoolerCore(Settings("n", "r", "10.0.0.1", "z")).ready
         False
         """
         return (
-            self.leaving == LEAVING.start
+            self.leaving == SHUTDOWN.start
             and self.rules is not None
-            and bool(self.yard.backends)
+            and bool(self.pools.backends)
             and not self.unsure
         )
 
-    def take_lanes(self, databases: list[str], sure: bool, used: bool, now: float) -> None:
+    def apply_priority(
+        self, databases: list[str], is_current: bool, used: bool, now: float
+    ) -> None:
         """Takes the priority lanes in force, and whether we may rely on them.
 
         A counter that can't be sure is not ready and lets idle sessions go; what was asked is answered.
 
-        >>> floor = Floor(Settings("n", "r", "10.0.0.1", "z")); floor.take_lanes(["books"], True, True, 0.0); floor.lanes
+        >>> core = PoolerCore(Settings("n", "r", "10.0.0.1", "z")); core.apply_priority(["books"], True, True, 0.0); core.priority_databases
         {'books'}
         """
-        if set(databases) != self.lanes:
-            self.lanes = set(databases)
-            scribe.say("the priority lane holds: %s", ", ".join(databases) or "nothing")
-        unsure = used and not sure
+        if set(databases) != self.priority_databases:
+            self.priority_databases = set(databases)
+            logger.info("the priority lane holds: %s", ", ".join(databases) or "nothing")
+        unsure = used and not is_current
         if unsure and not self.unsure:
-            scribe.say(
+            logger.info(
                 "no settled registrar is heard: not ready, since what is held here may be old"
             )
         self.unsure = unsure
@@ -107,15 +111,15 @@
     def session_opened(self, key, now: float, address: str = "") -> None:
         """A client connected.
 
-        >>> Floor(Settings("n", "r", "10.0.0.1", "z")).session_opened(1, 0.0)
+        >>> PoolerCore(Settings("n", "r", "10.0.0.1", "z")).session_opened(1, 0.0)
         """
         self.sessions[key] = Session(key, now, address)
 
     def session_data(self, key, data: bytes, now: float) -> None:
         """Bytes of a client.
 
-        >>> floor = Floor(Settings("n", "r", "10.0.0.1", "z")); floor.session_opened(1, 0.0)
-        >>> floor.session_data(1, b"HELO\\r\\n", 0.0); floor.effects[0][2]
+        >>> core = PoolerCore(Settings("n", "r", "10.0.0.1", "z")); core.session_opened(1, 0.0)
+        >>> core.session_data(1, b"HELO\\r\\n", 0.0); core.effects[0][2]
         b'ERR MALFORMED a session starts with LOGIN\\r\\n'
         """
         session = self.sessions.get(key)
@@ -129,9 +133,9 @@
     def advance(self, session: Session, now: float) -> None:
         """Handles the lines that wait, one statement at a time.
 
-        >>> floor = Floor(Settings("n", "r", "10.0.0.1", "z")); floor.advance(Session(1, 0.0), 0.0)
+        >>> core = PoolerCore(Settings("n", "r", "10.0.0.1", "z")); core.advance(Session(1, 0.0), 0.0)
         """
-        while session.waiting and session.errand is None and not session.closed:
+        while session.waiting and session.pending is None and not session.closed:
             line = session.waiting.popleft()
             if line is None:
                 self.send(session, "ERR TOOLONG a message is longer than 1 MiB")
@@ -144,20 +148,20 @@
     def take_login(self, session: Session, line: str, now: float) -> None:
         """The first line of a session.
 
-        >>> Floor(Settings("n", "r", "10.0.0.1", "z")).take_login(Session(1, 0.0), "LOGIN", 0.0)
+        >>> PoolerCore(Settings("n", "r", "10.0.0.1", "z")).take_login(Session(1, 0.0), "LOGIN", 0.0)
         """
         words = line.split(" ", 2)
         if words[0] != "LOGIN" or len(words) < 3 or not words[1] or not words[2]:
             self.send(session, "ERR MALFORMED a session starts with LOGIN")
         elif self.rules is None:
             self.send(session, "ERR BUSY this counter has no blueprint yet")
-        elif denial := self.gate.denies(session, words[1], LOGIN):
+        elif denial := self.access_control.denies(session, words[1], LOGIN):
             self.send(session, denial)
         elif words[1] not in self.rules:
             self.send(session, "ERR NODB there is no such database")
         else:
             session.database, session.who = words[1], words[2]
-            session.mode = self.pooling.mode(words[1], words[2])
+            session.mode = self.pool_modes.mode(words[1], words[2])
             self.send(session, "READY I -")
             return
         self.shut_session(session, now)
@@ -165,8 +169,8 @@
     def take_line(self, session: Session, line: str, now: float) -> None:
         """A line after the login.
 
-        >>> floor = Floor(Settings("n", "r", "10.0.0.1", "z")); session = Session(1, 0.0)
-        >>> floor.take_line(session, "NONSENSE", 0.0); floor.effects[0][2]
+        >>> core = PoolerCore(Settings("n", "r", "10.0.0.1", "z")); session = Session(1, 0.0)
+        >>> core.take_line(session, "NONSENSE", 0.0); core.effects[0][2]
         b'ERR MALFORMED this line is not understood\\r\\nREADY I -\\r\\n'
         """
         head, _blank, rest = line.partition(" ")
@@ -178,16 +182,16 @@
             self.reply(session, ["ERR MALFORMED this line is not understood"], now)
             return
         transaction = session.transaction
-        if transaction and transaction.failed and statement.sort not in ("commit", "abort"):
-            code = completion.tell_mishap(transaction)
+        if transaction and transaction.failed and statement.kind not in ("commit", "abort"):
+            code = completion.take_failure_code(transaction)
             self.reply(session, [f"ERR {code} the transaction has ended"], now)
             return
-        SORTS[statement.sort](self, session, statement, now)
+        HANDLERS[statement.kind](self, session, statement, now)
 
     def shut_session(self, session: Session, now: float) -> None:
         """Ends a session from our side.
 
-        >>> Floor(Settings("n", "r", "10.0.0.1", "z")).shut_session(Session(1, 0.0), 0.0)
+        >>> PoolerCore(Settings("n", "r", "10.0.0.1", "z")).shut_session(Session(1, 0.0), 0.0)
         """
         self.effects.append(("shut", session.key))
         self.session_closed(session.key, now, session)
@@ -195,27 +199,31 @@
     def session_closed(self, key, now: float, session: Session | None = None) -> None:
         """The client's connection is gone: its wire is rolled back and freed.
 
-        >>> Floor(Settings("n", "r", "10.0.0.1", "z")).session_closed(9, 0.0)
+        >>> PoolerCore(Settings("n", "r", "10.0.0.1", "z")).session_closed(9, 0.0)
         """
         session = self.sessions.pop(key, session)
         if session is None or session.closed:
             return
         session.closed = True
         session.waiting.clear()
-        errand, transaction = session.errand, session.transaction
-        if errand and errand.stage in ("waiting", "paused", "spooling"):
-            unsent = errand.wire if errand.stage == "spooling" and not transaction else None
-            self.end_errand(errand)
+        pending, transaction = session.pending, session.transaction
+        if pending and pending.stage in ("waiting", "paused", "spooling"):
+            unsent = pending.connection if pending.stage == "spooling" and not transaction else None
+            self.complete(pending)
             if unsent:
                 completion.release(self, unsent, now)
-        if transaction and transaction.wire and not (errand and errand.stage in ("setup", "run")):
-            completion.release(self, transaction.wire, now)
+        if (
+            transaction
+            and transaction.connection
+            and not (pending and pending.stage in ("setup", "run"))
+        ):
+            completion.release(self, transaction.connection, now)
         session.transaction = None
 
     def send(self, session: Session, *lines: str) -> None:
         """Lines to a client.
 
-        >>> floor = Floor(Settings("n", "r", "10.0.0.1", "z")); floor.send(Session(1, 0.0), "READY I -"); floor.effects
+        >>> core = PoolerCore(Settings("n", "r", "10.0.0.1", "z")); core.send(Session(1, 0.0), "READY I -"); core.effects
         [('send', 1, b'READY I -\\r\\n')]
         """
         if not session.closed:
@@ -224,8 +232,8 @@
     def reply(self, session: Session, lines: list[str], now: float, position=None) -> None:
         """A whole reply with its READY; the next waiting line then follows.
 
-        >>> floor = Floor(Settings("n", "r", "10.0.0.1", "z")); floor.reply(Session(1, 0.0), ["DONE -"], 0.0)
-        >>> floor.effects[0][2]
+        >>> core = PoolerCore(Settings("n", "r", "10.0.0.1", "z")); core.reply(Session(1, 0.0), ["DONE -"], 0.0)
+        >>> core.effects[0][2]
         b'DONE -\\r\\nREADY I -\\r\\n'
         """
         self.send(session, *lines, f"READY {session.state} {position or '-'}")
@@ -243,140 +251,154 @@
         if rule is None:
             self.reply(session, ["ERR NODB the database is no longer there"], now)
             return
-        errand = Errand(
-            session, statement, rule, plan or rule.plans[statement.sort], now, transaction
+        pending = PendingStatement(
+            session, statement, rule, plan or rule.plans[statement.kind], now, transaction
         )
-        if self.unsure and self.blueprint.limits.guarded and not (transaction and transaction.wire):
-            completion.refuse(self, errand, now)
+        if (
+            self.unsure
+            and self.configuration.limits.guarded
+            and not (transaction and transaction.connection)
+        ):
+            completion.refuse(self, pending, now)
             return
-        errand.lane = session.database in self.lanes
-        session.errand = errand
-        self.active.add(errand)
-        if transaction and transaction.wire:
-            self.start_on(errand, transaction.wire, now)
+        pending.prioritized = session.database in self.priority_databases
+        session.pending = pending
+        self.active.add(pending)
+        if transaction and transaction.connection:
+            self.start_on(pending, transaction.connection, now)
         else:
-            self.enlist(errand, now)
+            self.enqueue(pending, now)
 
-    def enlist(self, errand: Errand, now: float) -> None:
+    def enqueue(self, pending: PendingStatement, now: float) -> None:
         """Puts an errand into its service's waitlist, and tries at once."""
-        errand.stage, errand.wire = "waiting", None
-        waitlist = self.waitlists.setdefault(errand.rule.service, [])
-        insort(waitlist, errand, key=Errand.order)
-        self.pump(errand.rule.service, now)
+        pending.stage, pending.connection = "waiting", None
+        queue = self.queues.setdefault(pending.rule.service, [])
+        insort(queue, pending, key=PendingStatement.order)
+        self.dispatch(pending.rule.service, now)
 
-    def end_errand(self, errand: Errand) -> None:
+    def complete(self, pending: PendingStatement) -> None:
         """The errand is over, whatever its end."""
-        judge(self, errand)
-        errand.stage = "done"
-        self.active.discard(errand)
-        if errand.session.errand is errand:
-            errand.session.errand = None
+        judge(self, pending)
+        pending.stage = "done"
+        self.active.discard(pending)
+        if pending.session.pending is pending:
+            pending.session.pending = None
 
-    def pump(self, service: str, now: float) -> None:
+    def dispatch(self, service: str, now: float) -> None:
         """Starts what can start; what finds no wire waits on, in its order.
 
-        >>> Floor(Settings("n", "r", "10.0.0.1", "z")).pump("svc", 0.0)
+        >>> PoolerCore(Settings("n", "r", "10.0.0.1", "z")).dispatch("svc", 0.0)
         """
-        waitlist = self.waitlists.get(service)
-        if not waitlist:
+        queue = self.queues.get(service)
+        if not queue:
             return
         full = set()
-        waiting, waitlist[:] = list(waitlist), []
+        waiting, queue[:] = list(queue), []
         kept = [
-            errand
-            for errand in waiting
-            if errand.stage == "waiting"
-            and (now < errand.pause_until or not self.place(errand, full, len(waiting), now))
+            pending
+            for pending in waiting
+            if pending.stage == "waiting"
+            and (now < pending.not_before or not self.place(pending, full, len(waiting), now))
         ]
-        waitlist[:] = sorted(kept + waitlist, key=Errand.order) if waitlist else kept
+        queue[:] = sorted(kept + queue, key=PendingStatement.order) if queue else kept
 
-    def place(self, errand: Errand, full: set, waiting: int, now: float) -> bool:
+    def place(self, pending: PendingStatement, full: set, waiting: int, now: float) -> bool:
         """Walks the plan's first step: draws a backend and a wire, and starts the errand on it.
 
         What found no wire is not looked for again in the same round: a long waitlist would else cost its square.
         """
-        yard, kind = self.yard, errand.kind()
-        if kind in full:
+        pools, placement_key = self.pools, pending.placement_key()
+        if placement_key in full:
             return False
-        ground = yard.ground(errand.rule.service)
-        if errand.plan[0] == "rotation":
-            ground.read_at = now
-            errand.needed = server_results.needed(self, errand, ground, now)
-            if errand.needed is None:
+        service_pool = pools.service_pool(pending.rule.service)
+        if pending.plan[0] == "rotation":
+            service_pool.read_at = now
+            pending.needed = server_results.needed(self, pending, service_pool, now)
+            if pending.needed is None:
                 return False
-            backends = yard.draw_rotation(ground, errand.rule, errand.needed, now)
+            backends = pools.select_replicas(service_pool, pending.rule, pending.needed, now)
             if not backends:
-                errand.fall_back()
-        if errand.plan[0] == "lead":
-            backends = yard.lead_candidates(ground, errand.rule, now)[:1]
-            alive = backends and (backends[0].idle or backends[0].dark_since is None)
-            ground.headless_since = None if alive else ground.headless_since or now
+                pending.fall_back()
+        if pending.plan[0] == "lead":
+            backends = pools.primary_candidates(service_pool, pending.rule, now)[:1]
+            is_alive = backends and (backends[0].idle or backends[0].unreachable_since is None)
+            service_pool.without_primary_since = (
+                None if is_alive else service_pool.without_primary_since or now
+            )
         held = False  # a wire is there, but not for this one
         for backend in backends:
             if backend.name in full:
                 continue
-            if yard.kept_back(backend, errand, bool(self.lanes), now):
+            if pools.is_reserved(backend, pending, bool(self.priority_databases), now):
                 held = True
                 continue
-            wire = yard.take_wire(backend, errand.session.values, errand.statement.prepared)
-            if wire is None:
+            connection = pools.take_connection(
+                backend, pending.session.values, pending.statement.prepared
+            )
+            if connection is None:
                 continue
-            if not yard.warm_enough(backend, now):
-                backend.idle.append(wire)
+            if not pools.warm_enough(backend, now):
+                backend.idle.append(connection)
                 full.add(backend.name)
                 continue
-            self.start_on(errand, wire, now)
+            self.start_on(pending, connection, now)
             return True
         for backend in backends[: not held]:
             full.add(backend.name)
         if backends and (held or backends[0].dialing >= waiting or not self.dial(backends[0], now)):
-            full.add(kind)
+            full.add(placement_key)
         return False
 
     def dial(self, backend, now: float) -> bool:
         """Opens one more wire to a backend, if it may have one; tells whether it may."""
-        wire = self.yard.new_wire(backend, now)
-        if wire:
-            self.wires[wire.key] = wire
-            self.effects.append(("dial", wire.key, backend.host, backend.port))
-        return wire is not None
+        connection = self.pools.new_connection(backend, now)
+        if connection:
+            self.connections[connection.key] = connection
+            self.effects.append(("dial", connection.key, backend.host, backend.port))
+        return connection is not None
 
-    def start_on(self, errand: Errand, wire, now: float) -> None:
+    def start_on(self, pending: PendingStatement, connection, now: float) -> None:
         """Puts the session's values and names in place on the wire, opens what the plan opens, or runs."""
-        session, transaction = errand.session, errand.transaction
-        bound = transaction is not None and transaction.wire is wire
-        errand.wire, errand.sends = wire, errand.sends + (not bound)
-        wire.owner = errand
-        texts = None if wire.lost else wire.setup(session.values, errand.statement.prepared, bound)
+        session, transaction = pending.session, pending.transaction
+        bound = transaction is not None and transaction.connection is connection
+        pending.connection, pending.attempts = connection, pending.attempts + (not bound)
+        connection.owner = pending
+        texts = (
+            None
+            if connection.lost
+            else connection.setup(session.values, pending.statement.prepared, bound)
+        )
         if texts is None:
-            completion.fail_transaction(self, errand, "ROLLEDBACK", now)
+            completion.fail_transaction(self, pending, "ROLLEDBACK", now)
             return
         if bound and any(text.startswith("SET ") for text in texts):
-            transaction.touched = True
+            transaction.values_changed = True
         tagged = [("pre", text) for text in texts]
-        if not bound and "open" in errand.plan:
+        if not bound and "open" in pending.plan:
             tagged.append(("begin", "BEGIN"))
-        elif not bound and "open_read" in errand.plan:
-            tagged.append(("begin", f"WAITPOS {errand.needed} BEGIN FETCH"))
-        errand.pending = len(tagged)
+        elif not bound and "open_read" in pending.plan:
+            tagged.append(("begin", f"WAITPOS {pending.needed} BEGIN FETCH"))
+        pending.setup_replies_due = len(tagged)
         if not tagged:
-            self.run(errand, now)
+            self.run(pending, now)
             return
-        errand.stage = "setup"
-        errand.ran_at = now
-        data = b"".join(wire.ask(tag, "-", text, now) for tag, text in tagged)
-        self.effects.append(("send", wire.key, data))
+        pending.stage = "setup"
+        pending.sent_at = now
+        data = b"".join(connection.ask(tag, "-", text, now) for tag, text in tagged)
+        self.effects.append(("send", connection.key, data))
 
-    def run(self, errand: Errand, now: float) -> None:
+    def run(self, pending: PendingStatement, now: float) -> None:
         """Sends the statement itself, and the end behind it where the plan has one."""
-        if server_results.emptied(self, errand, now) or holds_back(self, errand, now):
+        if server_results.drained_meanwhile(self, pending, now) or hold_for_intent(
+            self, pending, now
+        ):
             return
-        wire, statement = errand.wire, errand.statement
-        errand.stage, errand.ran_at = "run", now
-        text = wire_text(statement, wire.names)
-        if errand.plan == ("rotation", "run"):
-            text = f"WAITPOS {errand.needed} {text}"
-        data = wire.ask("run", statement.id, text, now)
-        if errand.plan[-1] == "end":
-            data += wire.ask("clean", "-", "ABORT", now)
-        self.effects.append(("send", wire.key, data))
+        connection, statement = pending.connection, pending.statement
+        pending.stage, pending.sent_at = "run", now
+        text = server_text(statement, connection.names)
+        if pending.plan == ("rotation", "run"):
+            text = f"WAITPOS {pending.needed} {text}"
+        data = connection.ask("run", statement.id, text, now)
+        if pending.plan[-1] == "end":
+            data += connection.ask("clean", "-", "ABORT", now)
+        self.effects.append(("send", connection.key, data))
--- a/sumacloom/pooler/delivery.py
+++ b/sumacloom/pooler/delivery.py
@@ -4,32 +4,32 @@
 What nobody listens to passes untouched. A counter that can't be sure who listens treats all as listened to.
 """
 
-from sumacloom.transport.messages import Intent, Verdict
+from sumacloom.transport.messages import DeliveryIntent, DeliveryOutcome
 
 HOLD_S = 0.6  # how long a write waits for its intent to be held
 AGAIN_S = 1.0
-MOST_UNNOTED = 10_000
+MAX_UNACKNOWLEDGED = 10_000
 MOST_TEXT = 8192
 PROMISES = frozenset(
     {"BUSY", "ROLLEDBACK", "LAGGING", "RO", "WRONGHOST", "MAXCONN", "NOSUCH", "NODB", "MALFORMED"}
 )
 
 
-class Spooling:
+class DeliveryTracker:
     """What one counter has told registrars, in one life."""
 
-    def __init__(self, node: str, life: int):
-        self.node, self.life = node, life
+    def __init__(self, node: str, incarnation: int):
+        self.node, self.incarnation = node, incarnation
         self.databases, self.everything = set(), False
         self.numbers: dict[str, int] = {}
         self.waiting: dict[tuple, object] = {}  # (database, number): the errand held back
-        self.unnoted: dict[tuple, Verdict] = {}
-        self.told_at = -1e9
+        self.unacknowledged: dict[tuple, DeliveryOutcome] = {}
+        self.reported_at = -1e9
 
     def wants(self, database: str) -> bool:
         """Whether somebody may be listening.
 
-        >>> Spooling("edge-1", 7).wants("books")
+        >>> DeliveryTracker("edge-1", 7).wants("books")
         False
         """
         return self.everything or database in self.databases
@@ -37,7 +37,7 @@
     def listen(self, databases, everything: bool) -> None:
         """Takes who listens, and whether we can't be sure of it.
 
-        >>> spooling = Spooling("edge-1", 7); spooling.listen(["books"], False); spooling.wants("books")
+        >>> delivery = DeliveryTracker("edge-1", 7); delivery.listen(["books"], False); delivery.wants("books")
         True
         """
         self.databases, self.everything = set(databases), everything
@@ -45,9 +45,9 @@
     def note(self, database: str, number: int) -> None:
         """The feed has the item; the verdict need not be said again.
 
-        >>> Spooling("edge-1", 7).note("books", 1)
+        >>> DeliveryTracker("edge-1", 7).note("books", 1)
         """
-        self.unnoted.pop((database, number), None)
+        self.unacknowledged.pop((database, number), None)
 
 
 def item_text(statement) -> str:
@@ -63,60 +63,64 @@
     return text if len(text) <= MOST_TEXT else f"{text[:MOST_TEXT]} ... ({len(text)} bytes)"
 
 
-def holds_back(floor, errand, now: float) -> bool:
+def hold_for_intent(core, pending, now: float) -> bool:
     """Whether a statement about to be sent must wait for its intent; if so, the intent goes out."""
-    spooling, transaction = floor.spooling, errand.transaction
-    sort, database = errand.statement.sort, errand.session.database
-    if errand.intent or not spooling.wants(database):
+    delivery, transaction = core.delivery, pending.transaction
+    kind, database = pending.statement.kind, pending.session.database
+    if pending.intent or not delivery.wants(database):
         return False
-    if sort == "write" and transaction is None:
-        text = item_text(errand.statement)
-    elif sort == "commit" and transaction.writes:
+    if kind == "write" and transaction is None:
+        text = item_text(pending.statement)
+    elif kind == "commit" and transaction.writes:
         text = "\n".join(transaction.writes)
     else:
         return False
-    number = spooling.numbers[database] = spooling.numbers.get(database, 0) + 1
-    errand.intent = (database, number, text)
-    errand.stage, errand.ran_at = "spooling", now
-    if len(spooling.unnoted) >= MOST_UNNOTED:
-        errand.ran_at = now - HOLD_S  # nobody takes our verdicts: given up at the next tick
-    spooling.waiting[(database, number)] = errand
-    floor.effects.append(("spool", Intent(spooling.life, number, database, text, spooling.node)))
+    number = delivery.numbers[database] = delivery.numbers.get(database, 0) + 1
+    pending.intent = (database, number, text)
+    pending.stage, pending.sent_at = "spooling", now
+    if len(delivery.unacknowledged) >= MAX_UNACKNOWLEDGED:
+        pending.sent_at = now - HOLD_S  # nobody takes our verdicts: given up at the next tick
+    delivery.waiting[(database, number)] = pending
+    core.effects.append(
+        ("spool", DeliveryIntent(delivery.incarnation, number, database, text, delivery.node))
+    )
     return True
 
 
-def intent_held(floor, message, now: float) -> None:
+def handle_intent_stored(core, message, now: float) -> None:
     """A registrar holds the intent: the write goes out."""
-    if message.life != floor.spooling.life:  # of an earlier life, whose numbers were the same
+    if (
+        message.incarnation != core.delivery.incarnation
+    ):  # of an earlier life, whose numbers were the same
         return
-    errand = floor.spooling.waiting.pop((message.database, message.number), None)
-    if errand and errand.stage == "spooling":
-        floor.run(errand, now)
+    pending = core.delivery.waiting.pop((message.database, message.number), None)
+    if pending and pending.stage == "spooling":
+        core.run(pending, now)
 
 
-def judge(floor, errand, lines: list[str] | None = None) -> None:
+def judge(core, pending, lines: list[str] | None = None) -> None:
     """The end of an errand with an intent, from its reply or, without one, from how far it came."""
-    if not errand.intent:
+    if not pending.intent:
         return
-    (database, number, text), errand.intent = errand.intent, None
-    spooling = floor.spooling
-    spooling.waiting.pop((database, number), None)
+    (database, number, text), pending.intent = pending.intent, None
+    delivery = core.delivery
+    delivery.waiting.pop((database, number), None)
     if lines is None:
-        kind = "doubtful" if errand.stage == "run" else "not"
+        kind = "doubtful" if pending.stage == "run" else "not"
     elif lines[-1].startswith("ERR "):
         kind = "not" if lines[-1].split(" ")[1] in PROMISES else "doubtful"
     else:
         kind = "done"
-    verdict = Verdict(spooling.life, number, database, text, spooling.node, kind)
-    spooling.unnoted[(database, number)] = verdict
-    floor.effects.append(("spool", verdict))
+    verdict = DeliveryOutcome(delivery.incarnation, number, database, text, delivery.node, kind)
+    delivery.unacknowledged[(database, number)] = verdict
+    core.effects.append(("spool", verdict))
 
 
-def tell_again(floor, now: float) -> None:
+def resend_outcomes(core, now: float) -> None:
     """Verdicts that no registrar has noted go out again."""
-    spooling = floor.spooling
-    if spooling.unnoted and now - spooling.told_at >= AGAIN_S:
-        spooling.told_at = now
-        floor.effects.extend(
-            ("spool", verdict) for verdict in list(spooling.unnoted.values())[:500]
+    delivery = core.delivery
+    if delivery.unacknowledged and now - delivery.reported_at >= AGAIN_S:
+        delivery.reported_at = now
+        core.effects.extend(
+            ("spool", verdict) for verdict in list(delivery.unacknowledged.values())[:500]
         )
--- a/sumacloom/pooler/delivery_timers.py
+++ b/sumacloom/pooler/delivery_timers.py
@@ -6,13 +6,13 @@
 
 
 @stage("spooling")
-def check_spooling(floor, errand, now: float) -> None:
+def check_spooling(core, pending, now: float) -> None:
     """No registrar took the intent in time: the write was not sent, and the client hears so."""
-    if now - errand.ran_at < HOLD_S and now < errand.cutoff:
+    if now - pending.sent_at < HOLD_S and now < pending.deadline:
         return
-    wire, transaction = errand.wire, errand.transaction
+    connection, transaction = pending.connection, pending.transaction
     if transaction:
-        completion.fail_transaction(floor, errand, "ROLLEDBACK", now)
+        completion.fail_transaction(core, pending, "ROLLEDBACK", now)
     else:
-        completion.finish(floor, errand, ["ERR BUSY not run; come back in 500 ms"], now)
-        completion.release(floor, wire, now)
+        completion.finish(core, pending, ["ERR BUSY not run; come back in 500 ms"], now)
+        completion.release(core, connection, now)
--- a/sumacloom/pooler/membership.py
+++ b/sumacloom/pooler/membership.py
@@ -1,26 +1,29 @@
 """A counter's session with a registrar, its parent in the relay tree, and its children."""
 
+import logging
+
 import curio
 
-from sumacloom.logs import Scribe, set_level
-from sumacloom.pooler.admission import Lease
-from sumacloom.pooler.controller_discovery import Places
+from sumacloom.logs import set_level
+from sumacloom.pooler.admission import AccessLease
+from sumacloom.pooler.controller_discovery import ControllerDiscovery
 from sumacloom.settings import split_address
-from sumacloom.transport.link import Link, accept_all, listen, tune
+from sumacloom.transport.link import Link, accept_forever, configure_socket, listen
 from sumacloom.transport.messages import (
+    POOLER_ROLE,
+    ControllerHeartbeat,
     Follow,
-    Held,
     Hello,
-    MemberBeat,
-    News,
-    Noted,
-    Pending,
-    RegistrarBeat,
+    IntentStored,
+    OutcomeAcknowledged,
+    PoolerHeartbeat,
+    PrimaryPending,
+    Update,
 )
-from sumacloom.transport.update_cache import Board
-from sumacloom.transport.updates import Digest
+from sumacloom.transport.update_cache import UpdateCache
+from sumacloom.transport.updates import UpdateDigest
 
-scribe = Scribe("member")
+logger = logging.getLogger(__name__)
 BEAT_S, EARLY_S = 0.35, 0.1  # the second while new: what we hold is to be confirmed soon
 QUIET_S = 1.1
 BEHIND_S = 0.5
@@ -32,100 +35,114 @@
 CLAIM_S = 2.0  # shorter than the registrars' SESSION_S: a counter doubts before it is given up
 
 
-class Member(Places):
+class ControllerSession(ControllerDiscovery):
     """Keeps one session standing, and the news fresh."""
 
-    def __init__(self, settings, clock, on_news, yard, mishaps, report, life=0, on_spool=None):
-        self.settings, self.clock, self.on_news = settings, clock, on_news
-        self.yard, self.mishaps, self.report = yard, mishaps, report
-        self.life, self.on_spool, self.leaving = life, on_spool, False
+    def __init__(
+        self,
+        settings,
+        clock,
+        on_update,
+        pools,
+        failed_backends,
+        report,
+        incarnation=0,
+        on_delivery_reply=None,
+    ):
+        self.settings, self.clock, self.on_update = settings, clock, on_update
+        self.pools, self.failed_backends, self.report = pools, failed_backends, report
+        self.incarnation, self.on_delivery_reply, self.leaving = (
+            incarnation,
+            on_delivery_reply,
+            False,
+        )
         self.shared_at = 0.0
-        self.board = Board()
+        self.cache = UpdateCache()
         self.low, self.high = settings.port_range[0], settings.port_range[0] + 1
-        self.registrars = [f"{split_address(seed)[0]}:{self.low}" for seed in settings.seeds]
-        self.nearness: dict[str, float] = {}
+        self.controllers = [f"{split_address(seed)[0]}:{self.low}" for seed in settings.seeds]
+        self.latency: dict[str, float] = {}
         self.session: Link | None = None
         self.parent: Link | None = None
         self.parent_address = ""
         self.children: list[Link] = []
         self.members = 1
-        self.settled = False  # whether members have had the time to be counted
+        self.members_counted = False  # whether members have had the time to be counted
         self.started_at = clock()
-        self.sure_at = None  # when we sent what a registrar that lacks nothing answered last
+        self.current_at = None  # when we sent what a registrar that lacks nothing answered last
         self.caught_up = False  # whether such a one, ever, told us nothing that we lack
         self.behind_since = None
         self.awake_at = None  # when the clock was last looked at
         self.anew = False  # whether the session ended by a standstill of ours, not by the registrar
         self.turn = 0  # of parents: a task of an earlier one ends
-        self.attached, self.lease = "", Lease()
-        self.minds = lambda _now: []  # what the floor's pooling has to say
+        self.controller_address, self.lease = "", AccessLease()
+        self.pool_mode_votes = lambda _now: []  # what the floor's pooling has to say
         self.unsettled_since, self.patience = None, UNSETTLED_S
 
     @property
     def fresh(self) -> bool:
         """Whether a settled registrar has answered a beat of ours within the claim."""
-        return self.sure_at is not None and self.clock() - self.sure_at < CLAIM_S
+        return self.current_at is not None and self.clock() - self.current_at < CLAIM_S
 
     @property
-    def sure(self) -> bool:
+    def is_current(self) -> bool:
         """Whether what we hold is what the fleet holds: a settled registrar spoke to us within the claim."""
-        return self.informed and self.fresh
+        return self.is_informed and self.fresh
 
     @property
-    def informed(self) -> bool:
+    def is_informed(self) -> bool:
         """Whether we once held all that a settled registrar held, or have looked for one long enough."""
         return self.caught_up or self.clock() - self.started_at > ALONE_S
 
-    def must_be_sure(self, guarded: bool) -> bool:
+    def must_be_current(self, guarded: bool) -> bool:
         """Whether this counter may serve only while it is sure: rules that must hold everywhere are in use, or it is new."""
-        return guarded or bool(self.board.lanes.order) or not self.informed
+        return guarded or bool(self.cache.priority.order) or not self.is_informed
 
     def hello(self) -> Hello:
         """How this counter names itself."""
         settings = self.settings
         return Hello(
             settings.node,
-            "counter",
+            POOLER_ROLE,
             settings.zone,
             f"{settings.ip}:{self.high}",
             settings.ip,
-            self.life,
+            self.incarnation,
         )
 
-    async def take_news(self, news: News) -> None:
+    async def apply_update(self, update: Update) -> None:
         """Takes news, and passes on to the children what they lack."""
-        if self.board.take(news):
-            await self.on_news(news)
-            self.feed_children()
+        if self.cache.apply(update):
+            await self.on_update(update)
+            self.send_to_children()
 
-    def feed_children(self) -> None:
+    def send_to_children(self) -> None:
         """Sends each child what it lacks; one whose link is still full gets the newest once that is through."""
-        digest = self.board.digest()
+        digest = self.cache.digest()
         for child in self.children:
-            if not child.outlet.flush():
+            if not child.send_buffer.flush():
                 continue
             if child.digest is not None and child.digest != digest:
-                news = self.board.news_for(child.digest)
-                if news:
-                    child.send(news)
+                update = self.cache.update_for(child.digest)
+                if update:
+                    child.send(update)
                 child.digest = digest
 
-    def beat(self, reporting: bool = False) -> None:
+    def heartbeat(self, reporting: bool = False) -> None:
         """Sends a heartbeat now."""
         if self.session:
-            mishaps = sorted(set(self.mishaps))
-            self.mishaps.clear()
+            failed_backends = sorted(set(self.failed_backends))
+            self.failed_backends.clear()
             now = self.clock()
-            sightings, self.shared_at = self.yard.sightings(self.shared_at, now), now
+            observations, self.shared_at = self.pools.observations(self.shared_at, now), now
             self.session.send(
-                MemberBeat(
-                    self.board.digest(),
-                    mishaps,
-                    sightings,
+                PoolerHeartbeat(
+                    self.cache.digest(),
+                    failed_backends,
+                    observations,
                     self.report() if reporting else None,
                     self.leaving,
                     None if self.lease.until is None else now,
-                    self.minds(now),
+                    self.pool_mode_votes(now),
                     1 + round((now - self.started_at) * 1000),
                 )
             )
@@ -143,8 +160,8 @@
         while True:
             now = self.clock()
             order = sorted(
-                self.registrars,
-                key=lambda address: (barred.get(address, 0) > now, self.nearness.get(address, 1.0)),
+                self.controllers,
+                key=lambda address: (barred.get(address, 0) > now, self.latency.get(address, 1.0)),
             )
             address = order[0]
             try:
@@ -153,16 +170,16 @@
                 barred[address] = now + 1.5
                 await curio.sleep(0.05)
                 continue
-            self.session, self.attached, self.unsettled_since = link, address, None
-            link.heard_at = self.clock()
+            self.session, self.controller_address, self.unsettled_since = link, address, None
+            link.last_heartbeat_at = self.clock()
             watcher = await curio.spawn(self.watch, link, daemon=True)
-            self.beat()
+            self.heartbeat()
             async for message in link.messages():
-                if self.stood_still():
+                if self.stalled():
                     self.anew = True
                     break
-                link.heard_at = self.clock()
-                await self.hear(link, message)
+                link.last_heartbeat_at = self.clock()
+                await self.receive(link, message)
             await watcher.cancel()
             self.session = None
             await link.close()
@@ -170,104 +187,108 @@
                 barred[address] = self.clock() + 1.5
             self.anew = False
 
-    def stood_still(self) -> bool:
+    def stalled(self) -> bool:
         """Whether this counter has not run for so long that what lies unread may be old."""
         return self.awake_at is not None and self.clock() - self.awake_at > QUIET_S
 
     def look(self, now: float) -> None:
         """The clock runs; after a standstill the session is opened anew, since its backlog would count as fresh."""
-        if self.stood_still() and self.session:
-            scribe.say(
-                "this counter stood still: the session with %s is opened anew", self.attached
+        if self.stalled() and self.session:
+            logger.info(
+                "this counter stood still: the session with %s is opened anew",
+                self.controller_address,
             )
             self.anew = True
-            self.session.end()
+            self.session.abort()
         self.awake_at = now
 
     async def watch(self, link: Link) -> None:
         """Beats on the session; ends it when it goes quiet, or when a nearer registrar is back."""
         looked_at = self.clock()
         while True:
-            await curio.sleep(BEAT_S if self.informed else EARLY_S)
+            await curio.sleep(BEAT_S if self.is_informed else EARLY_S)
             now = self.clock()
-            if now - link.heard_at > QUIET_S:
-                scribe.say("the registrar at %s went quiet", self.attached)
+            if now - link.last_heartbeat_at > QUIET_S:
+                logger.info("the registrar at %s went quiet", self.controller_address)
                 break
-            self.beat()
+            self.heartbeat()
             if self.unsettled_since is not None and now - self.unsettled_since > self.patience:
                 self.unsettled_since, self.patience = now, min(MOST_UNSETTLED_S, self.patience * 2)
-                if await self.another_answers():
-                    scribe.say(
-                        "the registrar at %s lacks its majority, another is tried", self.attached
+                if await self.other_controller_answers():
+                    logger.info(
+                        "the registrar at %s lacks its majority, another is tried",
+                        self.controller_address,
                     )
                     break
             if now - looked_at > 3.0:
                 looked_at = now
-                if await self.nearer_is_back():
+                if await self.nearer_controller_answers():
                     break
-        link.end()
+        link.abort()
 
-    async def hear(self, link: Link, message) -> None:
+    async def receive(self, link: Link, message) -> None:
         """What the registrar says."""
-        if isinstance(message, News):
-            await self.take_news(message)
-        elif isinstance(message, (Held, Noted)):
-            await self.on_spool(message)
-        elif isinstance(message, Pending):
-            self.yard.ground(message.service).pending_until = self.clock() + message.seconds
-        elif isinstance(message, RegistrarBeat):
+        if isinstance(message, Update):
+            await self.apply_update(message)
+        elif isinstance(message, (IntentStored, OutcomeAcknowledged)):
+            await self.on_delivery_reply(message)
+        elif isinstance(message, PrimaryPending):
+            self.pools.service_pool(message.service).pending_until = self.clock() + message.seconds
+        elif isinstance(message, ControllerHeartbeat):
             self.members = message.members
-            self.settled = self.settled or self.clock() - self.started_at > SETTLE_S
-            self.registrars = list(dict.fromkeys([*message.registrars, *self.registrars]))[:9]
-            self.yard.take_sightings(message.positions, self.clock())
-            self.lease.hear(
-                message.digest.access, self.board.access.order, message.confirmed, self.clock()
+            self.members_counted = self.members_counted or self.clock() - self.started_at > SETTLE_S
+            self.controllers = list(dict.fromkeys([*message.controllers, *self.controllers]))[:9]
+            self.pools.take_observations(message.positions, self.clock())
+            self.lease.receive(
+                message.digest.access, self.cache.access.order, message.confirmed, self.clock()
             )
-            if message.settled:
+            if message.in_quorum:
                 if message.answers_ms:  # by our own clock: an answer may be read late
-                    self.sure_at = max(
-                        self.sure_at or 0.0, self.started_at + (message.answers_ms - 1) / 1000
+                    self.current_at = max(
+                        self.current_at or 0.0, self.started_at + (message.answers_ms - 1) / 1000
                     )
-                self.caught_up = self.caught_up or (self.fresh and self.board.holds(message.digest))
+                self.caught_up = self.caught_up or (
+                    self.fresh and self.cache.covers(message.digest)
+                )
                 self.unsettled_since, self.patience = None, UNSETTLED_S
             else:
                 self.unsettled_since = self.unsettled_since or self.clock()
             if message.log_level:
                 set_level(message.log_level)
             if message.want_report:
-                self.beat(reporting=True)
+                self.heartbeat(reporting=True)
             await self.follow(message.parent)
             self.check_behind(link, message.digest)
 
-    def check_behind(self, link: Link, digest: Digest) -> None:
+    def check_behind(self, link: Link, digest: UpdateDigest) -> None:
         """Pulls from the registrar itself when the tree leaves us behind for long."""
         now = self.clock()
-        if digest == self.board.digest():
+        if digest == self.cache.digest():
             self.behind_since = None
         elif self.behind_since is None:
             self.behind_since = now
             if not self.parent_address:
-                link.send(Follow(self.board.digest()))
+                link.send(Follow(self.cache.digest()))
         elif now - self.behind_since >= BEHIND_S:
             self.behind_since = now
-            link.send(Follow(self.board.digest()))
+            link.send(Follow(self.cache.digest()))
 
     # ------------------------------------------------------------ the tree
     async def follow(self, address: str) -> None:
         """Takes news from the parent that the registrar names; nothing means from itself."""
         if address == self.parent_address:
             if self.parent:
-                self.parent.send(Follow(self.board.digest()))
+                self.parent.send(Follow(self.cache.digest()))
             return
         self.parent_address = address
         if self.parent:
             old, self.parent = self.parent, None
-            old.end()
+            old.abort()
         self.turn += 1
         if address:
-            await curio.spawn(self.keep_parent, address, self.turn, daemon=True)
+            await curio.spawn(self.follow_parent, address, self.turn, daemon=True)
 
-    async def keep_parent(self, address: str, turn: int) -> None:
+    async def follow_parent(self, address: str, turn: int) -> None:
         """Listens to one parent while it is ours."""
         while self.turn == turn:
             try:
@@ -279,27 +300,27 @@
                 await link.close()
                 return
             self.parent = link
-            link.send(Follow(self.board.digest()))
+            link.send(Follow(self.cache.digest()))
             async for message in link.messages():
-                if isinstance(message, News):
-                    await self.take_news(message)
+                if isinstance(message, Update):
+                    await self.apply_update(message)
             if self.parent is link:
                 self.parent = None
             await link.close()
             await curio.sleep(0.2)
 
-    async def take_child(self, sock) -> None:
+    async def serve_child(self, sock) -> None:
         """Another counter takes its news from us."""
-        tune(sock._socket)
+        configure_socket(sock._socket)
         link = Link(sock)
         self.children.append(link)
         async for message in link.messages():
             if isinstance(message, Follow):
                 link.digest = message.digest
-                self.feed_children()
+                self.send_to_children()
         self.children.remove(link)
         await link.close()
 
     async def serve_children(self) -> None:
         """Takes links of children for ever."""
-        await accept_all(listen(self.settings.ip, self.high), self.take_child)
+        await accept_forever(listen(self.settings.ip, self.high), self.serve_child)
--- a/sumacloom/pooler/pending_statement.py
+++ b/sumacloom/pooler/pending_statement.py
@@ -3,7 +3,7 @@
 from sumacloom.pooler.routing import FALLBACK, PLANS
 
 
-class Errand:
+class PendingStatement:
     """A statement that needs a backend, with its plan and how far it has come.
 
     Stages: waiting (in a waitlist), setup (own texts are out, nothing of the client's), run
@@ -12,44 +12,44 @@
     """
 
     __slots__ = (
-        "cutoff",
-        "hold_until",
+        "attempts",
+        "connection",
+        "deadline",
         "intent",
-        "lane",
+        "last_error",
         "needed",
-        "packed",
-        "pause_until",
-        "pending",
+        "not_before",
         "plan_name",
-        "ran_at",
-        "received",
-        "refusal",
+        "prioritized",
+        "received_at",
+        "retry_until",
         "rule",
-        "sends",
+        "sent_at",
         "session",
+        "setup_replies_due",
+        "shares_connection",
         "stage",
         "statement",
         "transaction",
-        "wire",
     )
 
     def __init__(self, session, statement, rule, plan_name: str, now: float, transaction):
         self.session, self.statement, self.rule = session, statement, rule
         self.plan_name = plan_name
-        self.received = now
-        self.cutoff = now + rule.statement_s
-        self.hold_until = self.cutoff
+        self.received_at = now
+        self.deadline = now + rule.statement_s
+        self.retry_until = self.deadline
         self.stage = "waiting"
-        self.wire = None
-        self.pause_until = 0.0
-        self.sends = 0
-        self.pending = 0
+        self.connection = None
+        self.not_before = 0.0
+        self.attempts = 0
+        self.setup_replies_due = 0
         self.transaction = transaction
-        self.refusal = ""
-        self.ran_at = 0.0
+        self.last_error = ""
+        self.sent_at = 0.0
         self.needed = None
-        self.lane = False
-        self.packed = (
+        self.prioritized = False
+        self.shares_connection = (
             session.mode == "statement" and transaction is None
         )  # it shares wires by the statement
         self.intent = None
@@ -66,15 +66,21 @@
     @property
     def only_reads(self) -> bool:
         """Whether sending it twice changes nothing."""
-        return self.statement.sort == "read"
+        return self.statement.kind == "read"
 
     def order(self) -> tuple:
         """Its place in a waitlist: the priority lane first, then priority, then cutoff."""
-        return (not self.lane, self.rule.priority, self.cutoff)
+        return (not self.prioritized, self.rule.priority, self.deadline)
 
-    def kind(self) -> tuple:
+    def placement_key(self) -> tuple:
         """What decides which wires it may have: all of one kind find the same ones."""
-        return (self.plan[0], id(self.rule), self.lane, self.packed, self.transaction is None)
+        return (
+            self.plan[0],
+            id(self.rule),
+            self.prioritized,
+            self.shares_connection,
+            self.transaction is None,
+        )
 
     def fall_back(self) -> bool:
         """Turns from the rotation to the lead, if the plan knows how.
--- a/sumacloom/pooler/pool_mode.py
+++ b/sumacloom/pooler/pool_mode.py
@@ -8,7 +8,7 @@
 from collections import OrderedDict
 
 from sumacloom.settings import PoolSettings
-from sumacloom.transport.updates import PoolRow
+from sumacloom.transport.updates import PoolModeRow
 
 STATEMENT, TRANSACTION = "statement", "transaction"
 MOST_TALLIES, MOST_NAMES = 4096, 1024
@@ -28,13 +28,13 @@
         self.since = now
 
 
-class Pooling:
+class PoolModes:
     """One counter's judgements, and those that the fleet holds."""
 
     def __init__(self, settings: PoolSettings):
         self.settings = settings
-        self.generation = 0
-        self.rows: dict[str, PoolRow] = {}
+        self.version = 0
+        self.rows: dict[str, PoolModeRow] = {}
         self.tallies: OrderedDict[str, Tally] = OrderedDict()
         self.names: OrderedDict[tuple, int] = (
             OrderedDict()
@@ -42,20 +42,20 @@
         self.said: dict[tuple, float] = {}
         self.judged_at = -1e9
 
-    def take(self, generation: int, rows: dict[str, PoolRow]) -> None:
+    def take(self, version: int, rows: dict[str, PoolModeRow]) -> None:
         """Takes what the fleet holds.
 
-        >>> pooling = Pooling(PoolSettings()); pooling.take(1, {"books": PoolRow("books", "statement")})
-        >>> pooling.mode("books", "someone")
+        >>> pool_modes = PoolModes(PoolSettings()); pool_modes.take(1, {"books": PoolModeRow("books", "statement")})
+        >>> pool_modes.mode("books", "someone")
         'statement'
         """
-        if generation != self.generation:
-            self.generation, self.rows = generation, rows
+        if version != self.version:
+            self.version, self.rows = version, rows
 
     def mode(self, database: str, who: str) -> str:
         """The mode that a new session starts in.
 
-        >>> Pooling(PoolSettings()).mode("books", "someone")
+        >>> PoolModes(PoolSettings()).mode("books", "someone")
         'transaction'
         """
         row = self.rows.get(database)
@@ -70,7 +70,7 @@
 
         >>> from sumacloom.pooler.session import Session
         >>> session = Session(1, 0.0); session.database, session.mode = "books", "statement"
-        >>> pooling = Pooling(PoolSettings()); pooling.seen(session, True, 1.0); session.mode
+        >>> pool_modes = PoolModes(PoolSettings()); pool_modes.seen(session, True, 1.0); session.mode
         'transaction'
         """
         if not self.settings.on:
@@ -105,10 +105,10 @@
         ):
             session.mode = STATEMENT
 
-    def minds(self, now: float) -> list[tuple[str, str, str, int]]:
+    def pool_mode_votes(self, now: float) -> list[tuple[str, str, str, int]]:
         """Changes of mind to tell: (database, who or nothing, mode, the generation of the row judged).
 
-        >>> Pooling(PoolSettings()).minds(0.0)
+        >>> PoolModes(PoolSettings()).pool_mode_votes(0.0)
         []
         """
         if not self.settings.on or now - self.judged_at < JUDGE_S:
@@ -132,19 +132,19 @@
         self.said.update(dict.fromkeys(fresh, now))
         return fresh
 
-    def of(self, database: str) -> PoolRow:
+    def of(self, database: str) -> PoolModeRow:
         """What the fleet holds of a database.
 
-        >>> Pooling(PoolSettings()).of("books").mode
+        >>> PoolModes(PoolSettings()).of("books").mode
         'transaction'
         """
-        return self.rows.get(database) or PoolRow(database, TRANSACTION)
+        return self.rows.get(database) or PoolModeRow(database, TRANSACTION)
 
     def judge(self, database: str, tally: Tally, now: float) -> list[tuple]:
         """What one database's tally says: nothing yet, nothing new, or another mode.
 
-        >>> pooling = Pooling(PoolSettings()); tally = Tally(0.0); tally.requests = 100
-        >>> pooling.judge("books", tally, 1.0), pooling.judge("books", tally, 60.0)
+        >>> pool_modes = PoolModes(PoolSettings()); tally = Tally(0.0); tally.requests = 100
+        >>> pool_modes.judge("books", tally, 1.0), pool_modes.judge("books", tally, 60.0)
         ([], [('books', '', 'statement', 0)])
         """
         row, settings = self.of(database), self.settings
@@ -170,7 +170,7 @@
     def report(self, sessions) -> list[dict]:
         """The modes here and how many sessions are in each, for the admin API.
 
-        >>> Pooling(PoolSettings()).report([])
+        >>> PoolModes(PoolSettings()).report([])
         []
         """
         counts: dict[tuple, int] = {}
--- a/sumacloom/pooler/primary_positions.py
+++ b/sumacloom/pooler/primary_positions.py
@@ -8,18 +8,18 @@
 STEP_S = 0.05
 
 
-class Anchors:
+class PrimaryPositions:
     """The recent anchors of one service.
 
     Every commit acknowledged before an anchor's date is in its position, whoever made it.
 
-    >>> anchors = Anchors()
-    >>> anchors.note(10.0, Position(3, 7)); anchors.note(11.0, Position(3, 9))
-    >>> anchors.at_least(9.5)
+    >>> primary_positions = PrimaryPositions()
+    >>> primary_positions.note(10.0, Position(3, 7)); primary_positions.note(11.0, Position(3, 9))
+    >>> primary_positions.as_of(9.5)
     Position(term=3, number=7)
-    >>> anchors.at_least(10.5)
+    >>> primary_positions.as_of(10.5)
     Position(term=3, number=9)
-    >>> anchors.at_least(12.0) is None
+    >>> primary_positions.as_of(12.0) is None
     True
     """
 
@@ -31,8 +31,8 @@
     def note(self, asked_at: float, position: Position) -> None:
         """Keeps an anchor; a newer one from an older term is not believed.
 
-        >>> anchors = Anchors(); anchors.note(1.0, Position(4, 1)); anchors.note(2.0, Position(3, 9))
-        >>> len(anchors.dated)
+        >>> primary_positions = PrimaryPositions(); primary_positions.note(1.0, Position(4, 1)); primary_positions.note(2.0, Position(3, 9))
+        >>> len(primary_positions.dated)
         1
         """
         dated = self.dated
@@ -48,10 +48,10 @@
         while dated and dated[0][0] < asked_at - KEEP_S:
             dated.popleft()
 
-    def at_least(self, moment: float) -> Position | None:
+    def as_of(self, moment: float) -> Position | None:
         """The oldest anchor dated at or after the moment: the one replicas most surely hold.
 
-        >>> Anchors().at_least(0.0) is None
+        >>> PrimaryPositions().as_of(0.0) is None
         True
         """
         return next((position for date, position in self.dated if date >= moment), None)
--- a/sumacloom/pooler/process.py
+++ b/sumacloom/pooler/process.py
@@ -1,12 +1,14 @@
 """The counter's shell: sockets and clock around the floor."""
 
+import contextlib
+import logging
 import secrets
 import time
 
 import curio
 
 from sumacloom import http
-from sumacloom.logs import Scribe
+from sumacloom.errors import SumacloomError
 from sumacloom.pooler import (
     admission,
     completion,
@@ -15,16 +17,23 @@
     server_results,
     timers,
 )
-from sumacloom.pooler.core import Floor
-from sumacloom.pooler.membership import Member
+from sumacloom.pooler.core import PoolerCore
+from sumacloom.pooler.membership import ControllerSession
 from sumacloom.pooler.status_report import report_of
-from sumacloom.settings import FileWatch, Settings, read_settings, split_address
+from sumacloom.settings import POOLER, FileWatch, Settings, read_settings, split_address
 from sumacloom.signals import Signals
-from sumacloom.transport.link import Outlet, accept_all, dial, kept, listen, tune
-from sumacloom.transport.messages import Held
-from sumacloom.transport.update_cache import Board
+from sumacloom.transport.link import (
+    SendBuffer,
+    accept_forever,
+    configure_socket,
+    dial,
+    listen,
+    run_forever,
+)
+from sumacloom.transport.messages import IntentStored
+from sumacloom.transport.update_cache import UpdateCache
 
-scribe = Scribe("counter")
+logger = logging.getLogger(__name__)
 TICK_S = 0.05
 KEPT_DESCRIPTORS = 600
 MOST_WAITING = 16
@@ -42,210 +51,218 @@
         return ""
 
 
-class Shell:
+class PoolerProcess:
     """One running counter."""
 
     def __init__(self, settings: Settings):
         self.settings = settings
-        self.life = secrets.randbits(48)
-        self.floor = Floor(settings, self.life)
-        self.outlets: dict = {}  # session or wire key: outlet
+        self.incarnation = secrets.randbits(48)
+        self.core = PoolerCore(settings, self.incarnation)
+        self.send_buffers: dict = {}  # session or wire key: outlet
         self.blocked: set = set()
         self.next_session = 0
         self.most_sessions = max(64, settings.limits.nofile - KEPT_DESCRIPTORS)
         self.over = False
-        self.signals = Signals().listen()
+        self.signals = Signals().install()
         self.watch = FileWatch()
-        self.member = Member(
+        self.controller_session = ControllerSession(
             settings,
             self.now,
-            self.take_news,
-            self.floor.yard,
-            self.floor.mishaps,
+            self.apply_update,
+            self.core.pools,
+            self.core.failed_backends,
             self.report,
-            self.life,
-            self.hear_spool,
+            self.incarnation,
+            self.receive_delivery_reply,
         )
-        self.member.minds = self.floor.pooling.minds
+        self.controller_session.pool_mode_votes = self.core.pool_modes.pool_mode_votes
 
     @staticmethod
     def now() -> float:
         """The steady clock.
 
-        >>> Shell.now() <= Shell.now()
+        >>> PoolerProcess.now() <= PoolerProcess.now()
         True
         """
         return time.monotonic()
 
     # ------------------------------------------------------------ effects
-    async def act(self) -> None:
+    async def run_effects(self) -> None:
         """Does what the floor asked for."""
-        while self.floor.effects:
-            effects, self.floor.effects = self.floor.effects, []
+        while self.core.effects:
+            effects, self.core.effects = self.core.effects, []
             for kind, *rest in effects:
                 if kind == "send":
                     self.send(*rest)
                 elif kind == "shut":
                     self.shut(*rest)
                 elif kind == "spool":
-                    self.member.say(*rest)
+                    self.controller_session.say(*rest)
                 elif kind == "dial":
-                    await curio.spawn(self.run_wire, *rest, daemon=True)
+                    await curio.spawn(self.run_server_connection, *rest, daemon=True)
                 elif kind == "exit":
                     self.over = True
 
     def send(self, key, data: bytes) -> None:
         """Bytes for a session or a wire."""
-        outlet = self.outlets.get(key)
-        if outlet is None:
+        send_buffer = self.send_buffers.get(key)
+        if send_buffer is None:
             return
-        if not outlet.send(data):
+        if not send_buffer.send(data):
             self.shut(key)
-        elif outlet.waiting:
+        elif send_buffer.chunks:
             self.blocked.add(key)
 
     def shut(self, key) -> None:
         """Ends a connection; its reader then sees the end."""
-        outlet = self.outlets.pop(key, None)
+        send_buffer = self.send_buffers.pop(key, None)
         self.blocked.discard(key)
-        if outlet is None:
+        if send_buffer is None:
             return
-        outlet.flush()
-        outlet.closed = True
-        try:
-            outlet.sock._socket.shutdown(2)
-        except OSError:
-            pass
+        send_buffer.flush()
+        send_buffer.closed = True
+        with contextlib.suppress(OSError):
+            send_buffer.sock._socket.shutdown(2)
 
-    async def run_wire(self, key: int, host: str, port: int) -> None:
+    async def run_server_connection(self, key: int, host: str, port: int) -> None:
         """Dials a backend and reads from it to the end."""
-        wire = self.floor.wires.get(key)
+        connection = self.core.connections.get(key)
         try:
             sock = await dial(host, port)
         except OSError as error:
-            await self.end_wire(key, str(error))
+            await self.server_connection_ended(key, str(error))
             return
         async with sock:
-            wire = self.floor.wires.get(key)
-            if wire is None:
+            connection = self.core.connections.get(key)
+            if connection is None:
                 return
-            outlet = self.outlets[key] = Outlet(sock)
-            outlet.send(wire.login(self.settings.node))
+            send_buffer = self.send_buffers[key] = SendBuffer(sock)
+            send_buffer.send(connection.login(self.settings.node))
             why = "it was closed"
             try:
                 while True:
                     data = await sock.recv(65536)
                     if not data:
                         break
-                    server_results.wire_data(self.floor, key, data, self.now())
-                    await self.act()
+                    server_results.receive_data(self.core, key, data, self.now())
+                    await self.run_effects()
             except OSError as error:
                 why = str(error)
-            await self.end_wire(key, why)
+            await self.server_connection_ended(key, why)
 
-    async def end_wire(self, key: int, why: str) -> None:
+    async def server_connection_ended(self, key: int, why: str) -> None:
         """A wire has ended."""
-        self.outlets.pop(key, None)
-        wire = self.floor.wires.get(key)
-        if wire:
-            connection_loss.wire_lost(self.floor, wire, why, self.now())
-            if self.floor.mishaps:
-                self.member.beat()
-        await self.act()
+        self.send_buffers.pop(key, None)
+        connection = self.core.connections.get(key)
+        if connection:
+            connection_loss.connection_lost(self.core, connection, why, self.now())
+            if self.core.failed_backends:
+                self.controller_session.heartbeat()
+        await self.run_effects()
 
     async def run_session(self, sock) -> None:
         """Reads from a client to the end."""
-        if len(self.floor.sessions) >= self.most_sessions:
+        if len(self.core.sessions) >= self.most_sessions:
             async with sock:
                 return
         self.next_session -= 1
         key = self.next_session
-        floor = self.floor
-        tune(sock._socket, 10_000)
+        core = self.core
+        configure_socket(sock._socket, 10_000)
         async with sock:
-            self.outlets[key] = Outlet(sock)
-            floor.session_opened(key, self.now(), caller_of(sock))
-            session = floor.sessions[key]
+            self.send_buffers[key] = SendBuffer(sock)
+            core.session_opened(key, self.now(), caller_of(sock))
+            session = core.sessions[key]
             try:
                 while True:
                     data = await sock.recv(65536)
                     if not data:
                         break
-                    floor.session_data(key, data, self.now())
-                    await self.act()
+                    core.session_data(key, data, self.now())
+                    await self.run_effects()
                     while len(session.waiting) > MOST_WAITING and not session.closed:
                         await curio.sleep(0.02)
-                completion.session_ended(floor, key, self.now())
-                await self.act()
-                while key in self.outlets and not session.closed:
+                completion.session_ended(core, key, self.now())
+                await self.run_effects()
+                while key in self.send_buffers and not session.closed:
                     await curio.sleep(TICK_S)
             except OSError:
                 pass
-            self.outlets.pop(key, None)
-            floor.session_closed(key, self.now())
-            await self.act()
+            self.send_buffers.pop(key, None)
+            core.session_closed(key, self.now())
+            await self.run_effects()
 
     # ------------------------------------------------------------ news
-    async def take_news(self, _news) -> None:
+    async def apply_update(self, _news) -> None:
         """The board has something newer."""
-        board: Board = self.member.board
+        cache: UpdateCache = self.controller_session.cache
         now = self.now()
-        if board.blueprint:
-            self.floor.take_blueprint(board.blueprint, now)
-        self.floor.yard.take_evacuations(board.zones, now)
-        self.floor.pooling.take(board.pooling, board.pool_rows)
-        self.floor.take_records(list(board.records.values()), now)
-        await self.act()
+        if cache.configuration:
+            self.core.apply_configuration(cache.configuration, now)
+        self.core.pools.apply_zone_drains(cache.zones, now)
+        self.core.pool_modes.take(cache.pool_modes_version, cache.pool_modes)
+        self.core.apply_records(list(cache.records.values()), now)
+        await self.run_effects()
 
-    async def hear_spool(self, message) -> None:
+    async def receive_delivery_reply(self, message) -> None:
         """A registrar holds an intent, or has noted a verdict."""
-        if isinstance(message, Held):
-            delivery.intent_held(self.floor, message, self.now())
-            await self.act()
-        elif message.life == self.life:
-            self.floor.spooling.note(message.database, message.number)
+        if isinstance(message, IntentStored):
+            delivery.handle_intent_stored(self.core, message, self.now())
+            await self.run_effects()
+        elif message.incarnation == self.incarnation:
+            self.core.delivery.note(message.database, message.number)
 
     def report(self) -> dict:
         """What this counter tells the admin API when asked."""
-        return report_of(self.floor, self.member, self.now())
+        return report_of(self.core, self.controller_session, self.now())
 
     # ------------------------------------------------------------ running
     async def clock(self) -> None:
         """Ticks until this counter has left."""
         while not self.over:
             await curio.sleep(TICK_S)
-            if self.signals.take_hangup() or self.watch.changed(self.now()):
+            if self.signals.take_hangup() or self.watch.has_changed(self.now()):
                 self.reread()
-            if self.signals.ending:
-                timers.sigterm(self.floor, self.now())
-            self.member.look(self.now())
-            yard = self.floor.yard
-            yard.settled = self.member.settled
-            if self.member.settled or self.member.members > yard.members:
-                yard.count_members(self.member.members, self.now())
-            lanes = self.member.board.lanes
-            guarded = bool(self.floor.blueprint and self.floor.blueprint.limits.guarded)
-            access, now = self.member.board.access, self.now()
-            lapsed = not self.member.lease.held(now)
-            admission.take_access(self.floor, access, lapsed, now)
-            used = self.member.must_be_sure(guarded or lapsed)
-            self.floor.take_lanes(lanes.databases, self.member.sure and not lapsed, used, now)
-            listeners = self.member.board.listeners
-            self.floor.spooling.listen(
+            if self.signals.terminating:
+                timers.sigterm(self.core, self.now())
+            self.controller_session.look(self.now())
+            pools = self.core.pools
+            pools.members_counted = self.controller_session.members_counted
+            if (
+                self.controller_session.members_counted
+                or self.controller_session.members > pools.members
+            ):
+                pools.count_members(self.controller_session.members, self.now())
+            priority_databases = self.controller_session.cache.priority
+            guarded = bool(self.core.configuration and self.core.configuration.limits.guarded)
+            access, now = self.controller_session.cache.access, self.now()
+            lapsed = not self.controller_session.lease.held(now)
+            admission.take_access(self.core, access, lapsed, now)
+            used = self.controller_session.must_be_current(guarded or lapsed)
+            self.core.apply_priority(
+                priority_databases.databases,
+                self.controller_session.is_current and not lapsed,
+                used,
+                now,
+            )
+            listeners = self.controller_session.cache.subscribers
+            self.core.delivery.listen(
                 [database for _name, database, _state in listeners.rows],
-                bool(listeners.generation) and not self.member.sure,
+                bool(listeners.version) and not self.controller_session.is_current,
             )
-            self.member.feed_children()
-            self.floor.alone = self.member.settled and not self.member.sure
-            self.member.leaving = self.floor.leaving != "serving"
-            timers.tick(self.floor, self.now())
+            self.controller_session.send_to_children()
+            self.core.isolated = (
+                self.controller_session.members_counted and not self.controller_session.is_current
+            )
+            self.controller_session.leaving = self.core.leaving != "serving"
+            timers.tick(self.core, self.now())
             for key in list(self.blocked):
-                outlet = self.outlets.get(key)
-                if outlet is None or outlet.flush():
+                send_buffer = self.send_buffers.get(key)
+                if send_buffer is None or send_buffer.flush():
                     self.blocked.discard(key)
-            if self.floor.mishaps:
-                self.member.beat()
-            await self.act()
+            if self.core.failed_backends:
+                self.controller_session.heartbeat()
+            await self.run_effects()
 
     async def serve_ready(self, sock) -> None:
         """Tells the platform whether to send clients here."""
@@ -256,33 +273,33 @@
                 return http.Reply(404)
             if request.method != "GET":
                 return http.Reply(405)
-            return http.Reply(200 if self.floor.ready else 503)
+            return http.Reply(200 if self.core.ready else 503)
 
-        await http.serve_wire(sock, handler, 4096)
+        await http.serve_connection(sock, handler, 4096)
 
     def reread(self) -> None:
         """Reads the settings file again; nothing is dropped, a bad file changes nothing."""
-        result = read_settings("counter")
-        if result.is_err():
-            scribe.warn("the old settings stay: %s", result.err().sentence)
+        try:
+            fresh = read_settings(POOLER)
+        except SumacloomError as error:
+            logger.warning("the old settings stay: %s", error.message)
             return
-        fresh = result.ok()
         self.settings.bounds, self.settings.health, self.settings.seeds = (
             fresh.bounds,
             fresh.health,
             fresh.seeds,
         )
-        scribe.say("the settings were read again")
+        logger.info("the settings were read again")
 
     async def main(self) -> int:
         """Runs until SIGTERM, then leaves in order."""
         settings = self.settings
         for name, serve in (("fe", self.run_session), ("readyz", self.serve_ready)):
             sock = listen(*split_address(getattr(settings.listen, name)))
-            await curio.spawn(kept, scribe, accept_all, sock, serve, daemon=True)
-        await curio.spawn(kept, scribe, self.member.serve_children, daemon=True)
-        await curio.spawn(kept, scribe, self.member.attach, daemon=True)
-        scribe.say("serving at %s", settings.listen.fe)
-        await kept(scribe, self.clock)
-        scribe.say("gone")
+            await curio.spawn(run_forever, logger, accept_forever, sock, serve, daemon=True)
+        await curio.spawn(run_forever, logger, self.controller_session.serve_children, daemon=True)
+        await curio.spawn(run_forever, logger, self.controller_session.attach, daemon=True)
+        logger.info("serving at %s", settings.listen.fe)
+        await run_forever(logger, self.clock)
+        logger.info("gone")
         return 0
--- a/sumacloom/pooler/replica_health.py
+++ b/sumacloom/pooler/replica_health.py
@@ -4,15 +4,15 @@
 how long it has been inside the band. The chart `replica` decides; this module measures.
 """
 
+import logging
 from collections import deque
 
-from sumacloom.logs import Scribe
 from sumacloom.settings import Health
-from sumacloom.state_machines import load_chart
-from sumacloom.types import ORIGIN, Position
+from sumacloom.state_machines import load_state_machine
+from sumacloom.types import LOG_START, Position
 
-scribe = Scribe("rotation")
-CHART = load_chart("replica_health")
+logger = logging.getLogger(__name__)
+STATE_MACHINE = load_state_machine("replica_health")
 TIP_STEP_S = 0.25
 SHOWN = 1.2  # sweeps: a position shown so lately, here or by way of the registrars, spares a STAT
 LEAST_SOFT, LEAST_HARD = 3, 8  # positions; the source's own figures, kept as least widths
@@ -34,36 +34,36 @@
 
     def __init__(self, name: str):
         self.name = name
-        self.state = CHART.start
-        self.position = ORIGIN
+        self.state = STATE_MACHINE.start
+        self.position = LOG_START
         self.lag = 0
         self.seen_at = self.own_at = None
         self.soft_since = self.band_since = 0.0
 
 
-class Rotation:
+class ReplicaHealth:
     """The rotation of one service.
 
-    >>> rotation = Rotation(Health())
-    >>> rotation.see("a", Position(1, 10), 0.0); rotation.see("b", Position(1, 9), 0.1)
-    >>> [replica.name for replica in rotation.inside()]
+    >>> replica_health = ReplicaHealth(Health())
+    >>> replica_health.see("a", Position(1, 10), 0.0); replica_health.see("b", Position(1, 9), 0.1)
+    >>> [replica.name for replica in replica_health.eligible()]
     ['a', 'b']
     """
 
     def __init__(self, health: Health, turn: float = 0.0):
         self.health = health
         self.replicas = {}
-        self.tip = ORIGIN
+        self.tip = LOG_START
         self.tips = deque(maxlen=32)
         self.frozen = False
         self.turn = (
             turn  # 0 to 1: who sweeps first differs by counter and service, and spares the rest
         )
 
-    def bands(self) -> tuple[int, int]:
+    def lag_limits(self) -> tuple[int, int]:
         """The soft and the hard width in positions, from the commit rate seen.
 
-        >>> Rotation(Health()).bands()
+        >>> ReplicaHealth(Health()).lag_limits()
         (3, 8)
         """
         rate = 0.0
@@ -81,9 +81,9 @@
 
         The lag is counted against the freshest replica as it stood at the moment of that reading.
 
-        >>> rotation = Rotation(Health())
-        >>> rotation.see("a", Position(1, 50), 0.0); rotation.see("b", Position(1, 1), 0.1)
-        >>> [replica.name for replica in rotation.inside()]
+        >>> replica_health = ReplicaHealth(Health())
+        >>> replica_health.see("a", Position(1, 50), 0.0); replica_health.see("b", Position(1, 1), 0.1)
+        >>> [replica.name for replica in replica_health.eligible()]
         ['a']
         """
         if self.frozen:
@@ -106,7 +106,7 @@
         replica.position, replica.seen_at = position, now
         replica.own_at = now if own else replica.own_at
         behind = tip.term > position.term
-        soft, hard = self.bands()
+        soft, hard = self.lag_limits()
         replica.lag = hard if behind else max(0, tip.number - position.number)
         if replica.lag <= soft:
             self.apply(replica, "first" if first else "band", now)
@@ -117,7 +117,7 @@
             graced_out = (
                 replica.state == "lagging" and now - replica.soft_since >= self.health.grace_s
             )
-            if graced_out and len(self.inside()) > self.health.floor:
+            if graced_out and len(self.eligible()) > self.health.floor:
                 self.apply(replica, "graced_out", now)
         else:
             self.apply(replica, "hard", now)
@@ -125,19 +125,19 @@
     def tip_at(self, moment: float) -> Position:
         """The freshest position known at a moment.
 
-        >>> rotation = Rotation(Health()); rotation.see("a", Position(1, 5), 1.0); rotation.see("a", Position(1, 9), 2.0)
-        >>> rotation.tip_at(1.5), rotation.tip_at(2.5)
+        >>> replica_health = ReplicaHealth(Health()); replica_health.see("a", Position(1, 5), 1.0); replica_health.see("a", Position(1, 9), 2.0)
+        >>> replica_health.tip_at(1.5), replica_health.tip_at(2.5)
         (Position(term=1, number=5), Position(term=1, number=9))
         """
         if not self.tips or moment >= self.tips[-1][0] + TIP_STEP_S:
             return self.tip
-        return max((position for seen, position in self.tips if seen <= moment), default=ORIGIN)
+        return max((position for seen, position in self.tips if seen <= moment), default=LOG_START)
 
     def silent(self, name: str, now: float) -> None:
         """A sweep or a wire of that replica got no answer.
 
-        >>> rotation = Rotation(Health()); rotation.see("a", Position(1, 1), 0.0)
-        >>> rotation.silent("a", 1.0); rotation.inside()
+        >>> replica_health = ReplicaHealth(Health()); replica_health.see("a", Position(1, 1), 0.0)
+        >>> replica_health.silent("a", 1.0); replica_health.eligible()
         []
         """
         replica = self.replicas.get(name)
@@ -147,37 +147,37 @@
     def forget(self, name: str) -> None:
         """The replica is gone, or leads now.
 
-        >>> Rotation(Health()).forget("a")
+        >>> ReplicaHealth(Health()).forget("a")
         """
         self.replicas.pop(name, None)
 
     def apply(self, replica: Replica, event: str, now: float) -> None:
         """Runs one event through the chart and does what it says.
 
-        >>> rotation = Rotation(Health()); replica = Replica("a")
-        >>> rotation.apply(replica, "first", 0.0); replica.state
+        >>> replica_health = ReplicaHealth(Health()); replica = Replica("a")
+        >>> replica_health.apply(replica, "first", 0.0); replica.state
         'inside'
         """
-        replica.state, actions = CHART.step(replica.state, event)
+        replica.state, actions = STATE_MACHINE.step(replica.state, event)
         for action in actions:
             if action == "mark_soft":
                 replica.soft_since = now
             elif action == "mark_band":
                 replica.band_since = now
             elif action == "say_evicted":
-                scribe.say(
+                logger.info(
                     "the replica %s left the rotation (%s, %d behind)",
                     replica.name,
                     event,
                     replica.lag,
                 )
             elif action == "say_readmitted":
-                scribe.say("the replica %s is back in the rotation", replica.name)
+                logger.info("the replica %s is back in the rotation", replica.name)
 
-    def inside(self) -> list[Replica]:
+    def eligible(self) -> list[Replica]:
         """The replicas in rotation.
 
-        >>> Rotation(Health()).inside()
+        >>> ReplicaHealth(Health()).eligible()
         []
         """
         return [
@@ -187,7 +187,7 @@
     def due(self, name: str, now: float) -> bool:
         """Whether this sweep must ask the replica, traffic not having shown its position.
 
-        >>> Rotation(Health()).due("a", 5.0)
+        >>> ReplicaHealth(Health()).due("a", 5.0)
         True
         """
         replica = self.replicas.get(name)
--- a/sumacloom/pooler/routing.py
+++ b/sumacloom/pooler/routing.py
@@ -11,7 +11,7 @@
 
 from typing import NamedTuple
 
-from sumacloom.configuration.model import Blueprint, Route
+from sumacloom.configuration.model import Configuration, Route
 
 PLANS = {
     "lead_read": ("lead", "open", "run", "end"),
@@ -43,7 +43,7 @@
 class Rule(NamedTuple):
     """What the blueprint says of one database.
 
-    >>> compile_rules(Blueprint(1, [Route("r", "db", "svc")]))["db"].service
+    >>> compile_rules(Configuration(1, [Route("r", "db", "svc")]))["db"].service
     'svc'
     """
 
@@ -58,14 +58,14 @@
     plans: dict
 
 
-def compile_rules(blueprint: Blueprint) -> dict[str, Rule]:
+def compile_rules(configuration: Configuration) -> dict[str, Rule]:
     """Compiles every route; a host with several prefixes keeps its shortest.
 
-    >>> rules = compile_rules(Blueprint(1, [Route("r", "db", "svc", kind="self")]))
+    >>> rules = compile_rules(Configuration(1, [Route("r", "db", "svc", kind="self")]))
     >>> rules["db"].plans["read"]
     'rotation_read'
     """
-    ordered = sorted(blueprint.routes, key=lambda route: len(route.pfx), reverse=True)
+    ordered = sorted(configuration.routes, key=lambda route: len(route.pfx), reverse=True)
     return {route.host: compile_rule(route) for route in ordered}
 
 
--- a/sumacloom/pooler/server_connection.py
+++ b/sumacloom/pooler/server_connection.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from sumacloom.line_protocol import LineSplitter, encode
-from sumacloom.types import Position, read_position
+from sumacloom.types import Position, parse_position
 
 MOST_NAMES = 200
 MOST_ROWS = 3 << 20
@@ -16,7 +16,7 @@
 }  # the state after a success; else as before
 
 
-class WireResult(NamedTuple):
+class ServerResult(NamedTuple):
     """A whole result of a backend: what it answers, rows, last line, state and position after it."""
 
     tag: str
@@ -30,23 +30,23 @@
     def code(self) -> str:
         """The code of an ERR, else nothing.
 
-        >>> WireResult("run", [], "ERR RO i-1", "E", None, 0.0).code
+        >>> ServerResult("run", [], "ERR RO i-1", "E", None, 0.0).code
         'RO'
         """
         return self.line.split(" ", 2)[1] if self.line.startswith("ERR ") else ""
 
 
-class Wire:
+class ServerConnection:
     """A wire's state machine: lines in, results out; asks give bytes to send.
 
-    >>> wire = Wire(1, "i-1", "svc", 0.0)
-    >>> wire.login("me")
+    >>> connection = ServerConnection(1, "i-1", "svc", 0.0)
+    >>> connection.login("me")
     b'LOGIN svc me i-1\\r\\n'
-    >>> [result.tag for result in wire.feed(b"READY I 3.7\\r\\n")]
+    >>> [result.tag for result in connection.feed(b"READY I 3.7\\r\\n")]
     ['login']
-    >>> wire.ask("run", "5c", "FETCH a", 1.0)
+    >>> connection.ask("run", "5c", "FETCH a", 1.0)
     b'QUERY 5c FETCH a\\r\\n'
-    >>> [result.line for result in wire.feed(b"ROW x\\r\\nDONE 7.1\\r\\nREADY I 3.8\\r\\n")]
+    >>> [result.line for result in connection.feed(b"ROW x\\r\\nDONE 7.1\\r\\nREADY I 3.8\\r\\n")]
     ['DONE 7.1']
     """
 
@@ -54,7 +54,6 @@
         "asked_at",
         "backend",
         "dirty",
-        "doubtful",
         "expected",
         "idle_since",
         "key",
@@ -72,6 +71,7 @@
         "splitter",
         "stamp",
         "state",
+        "unclear",
         "values",
     )
 
@@ -87,13 +87,13 @@
         self.stamp = (
             ""  # of the last success: one that comes again is no answer to what was asked since
         )
-        self.doubtful = False  # a success came with a state that does not fit: who knows what ran
+        self.unclear = False  # a success came with a state that does not fit: who knows what ran
         self.opened_at = self.idle_since = self.asked_at = now
 
     def login(self, who: str) -> bytes:
         """The first line, with the id expected at that address.
 
-        >>> Wire(1, "i-1", "svc", 0.0).login("me")
+        >>> ServerConnection(1, "i-1", "svc", 0.0).login("me")
         b'LOGIN svc me i-1\\r\\n'
         """
         self.expected.append(("login", self.opened_at, "I"))
@@ -103,7 +103,7 @@
     def ask(self, tag: str, statement_id: str, text: str, now: float) -> bytes:
         """A statement to send, whose result will carry the tag.
 
-        >>> Wire(1, "i-1", "svc", 0.0).ask("own", "-", "BEGIN", 0.0)
+        >>> ServerConnection(1, "i-1", "svc", 0.0).ask("own", "-", "BEGIN", 0.0)
         b'QUERY - BEGIN\\r\\n'
         """
         before = self.expected[-1][2] if self.expected else self.state
@@ -111,10 +111,10 @@
         self.asked_at = now
         return encode(f"QUERY {statement_id} {text}")
 
-    def feed(self, data: bytes) -> list[WireResult]:
+    def feed(self, data: bytes) -> list[ServerResult]:
         """Takes bytes of the backend; anything odd sets `lost`, and the wire is closed.
 
-        >>> wire = Wire(1, "i-1", "svc", 0.0); wire.feed(b"ROW stray\\r\\n"), wire.lost
+        >>> connection = ServerConnection(1, "i-1", "svc", 0.0); connection.feed(b"ROW stray\\r\\n"), connection.lost
         ([], True)
         """
         results = []
@@ -129,8 +129,8 @@
                 self.lost = self.size > MOST_ROWS
             elif word == "READY":
                 state, _blank, position = rest.partition(" ")
-                self.state, self.position = state, read_position(position) or self.position
-                results.append(self.finish(state, read_position(position)))
+                self.state, self.position = state, parse_position(position) or self.position
+                results.append(self.finish(state, parse_position(position)))
             else:
                 self.line = line
                 self.stamp = rest if word == "DONE" and rest != "-" else self.stamp
@@ -146,8 +146,8 @@
 
         A client's statement succeeds with a stamp, a text of our own with `-`; the state after a success is known.
 
-        >>> wire = Wire(1, "i-1", "svc", 0.0); _bytes = wire.ask("run", "5c", "FETCH a", 0.0)
-        >>> wire.in_turn("DONE", "7.1"), wire.in_turn("DONE", "-"), wire.in_turn("READY", "I -")
+        >>> connection = ServerConnection(1, "i-1", "svc", 0.0); _bytes = connection.ask("run", "5c", "FETCH a", 0.0)
+        >>> connection.in_turn("DONE", "7.1"), connection.in_turn("DONE", "-"), connection.in_turn("READY", "I -")
         (True, False, False)
         """
         if not self.expected:
@@ -159,7 +159,7 @@
                 return state in ("I", "T", "E") and (tag != "clean" or state == "I")
             if not self.line and tag != "login":
                 return False
-            self.doubtful = state != after
+            self.unclear = state != after
             return state == after
         if self.line or tag == "login":
             return not self.line and word == "ERR"
@@ -168,21 +168,21 @@
             word == "DONE" and (stamped if tag == "run" else rest == "-")
         )
 
-    def finish(self, state: str, position: Position | None) -> WireResult:
+    def finish(self, state: str, position: Position | None) -> ServerResult:
         """Ends the result being read.
 
-        >>> wire = Wire(1, "i-1", "svc", 0.0); _bytes = wire.login("me"); wire.finish("I", None).tag
+        >>> connection = ServerConnection(1, "i-1", "svc", 0.0); _bytes = connection.login("me"); connection.finish("I", None).tag
         'login'
         """
         tag, asked_at, _after = self.expected.popleft()
-        result = WireResult(tag, self.rows, self.line, state, position, asked_at)
+        result = ServerResult(tag, self.rows, self.line, state, position, asked_at)
         self.rows, self.size, self.line = [], 0, ""
         return result
 
     def fits(self, values: dict) -> bool:
         """Whether the session's values need no RESET here: SET can change a value, but not take one away.
 
-        >>> Wire(1, "i-1", "svc", 0.0).fits({"a": "1"})
+        >>> ServerConnection(1, "i-1", "svc", 0.0).fits({"a": "1"})
         True
         """
         return not self.dirty and self.values.keys() <= values.keys()
@@ -192,7 +192,7 @@
 
         None says that this wire can't do so inside its transaction.
 
-        >>> Wire(1, "i-1", "svc", 0.0).setup({"a": "1"}, ("FETCH", "q"), False)
+        >>> ServerConnection(1, "i-1", "svc", 0.0).setup({"a": "1"}, ("FETCH", "q"), False)
         ['SET a 1', 'PREP p1 FETCH q']
         """
         texts = []
--- a/sumacloom/pooler/server_pools.py
+++ b/sumacloom/pooler/server_pools.py
@@ -1,20 +1,20 @@
 """The backends a counter knows, their wires, and which of them may be drawn."""
 
+import logging
 import zlib
 
-from sumacloom.logs import Scribe
-from sumacloom.pooler.server_connection import Wire
-from sumacloom.pooler.service_pool import Backend, Ground
-from sumacloom.settings import Settings, split_address
-from sumacloom.transport.updates import Sighting
+from sumacloom.pooler.server_connection import ServerConnection
+from sumacloom.pooler.service_pool import Backend, ServicePool
+from sumacloom.settings import Settings, is_address, split_address
+from sumacloom.transport.updates import PositionObservation
 from sumacloom.types import Position
 
-scribe = Scribe("yard")
+logger = logging.getLogger(__name__)
 BACKOFF_S, MOST_BACKOFF_S = 0.15, 1.2
 REFUSED_S = 0.25
 SHARE_OF_MAXCONN = 0.7
-MOST_WIRES = 32
-FREE_WIRES = 4  # more than a fair share, as long as the backend does not mind
+MAX_CONNECTIONS = 32
+UNCONTENDED_CONNECTIONS = 4  # more than a fair share, as long as the backend does not mind
 CROWD_S = 5.0
 SHARE_OF_BOUND = 0.6
 UNKNOWN_MEMBERS = 8
@@ -22,16 +22,16 @@
 PACKED_S = 5.0  # so long after a statement in statement mode a wire is kept for the next
 
 
-class Yard:
+class ServerPools:
     """All services and backends, as one counter sees them."""
 
     def __init__(self, settings: Settings):
         self.settings = settings
-        self.grounds = {}
+        self.service_pools = {}
         self.backends = {}
-        self.evacuated = {}
+        self.draining_zones = {}
         self.services = {}
-        self.members, self.settled = (
+        self.members, self.members_counted = (
             UNKNOWN_MEMBERS,
             True,
         )  # settled: the members have had the time to be counted
@@ -41,8 +41,8 @@
     def count_members(self, members: int, now: float) -> None:
         """Takes the member count; the most of the last seconds counts, since wires outlive their ends.
 
-        >>> yard = Yard(Settings("n", "r", "10.0.0.1", "z")); yard.count_members(3, 0.0); yard.count_members(2, 1.0)
-        >>> yard.members
+        >>> pools = ServerPools(Settings("n", "r", "10.0.0.1", "z")); pools.count_members(3, 0.0); pools.count_members(2, 1.0)
+        >>> pools.members
         3
         """
         self.members_seen = [
@@ -54,21 +54,21 @@
             self.members_seen[-1] = (now, members)
         self.members = max(count for _seen, count in self.members_seen)
 
-    def ground(self, service: str) -> Ground:
+    def service_pool(self, service: str) -> ServicePool:
         """The service's ground, made when first asked for.
 
-        >>> Yard(Settings("n", "r", "10.0.0.1", "z")).ground("svc").name
+        >>> ServerPools(Settings("n", "r", "10.0.0.1", "z")).service_pool("svc").name
         'svc'
         """
-        if service not in self.grounds:
+        if service not in self.service_pools:
             turn = zlib.crc32(f"{self.settings.node} {service}".encode()) / 2**32
-            self.grounds[service] = Ground(service, self.settings.health, turn)
-        return self.grounds[service]
+            self.service_pools[service] = ServicePool(service, self.settings.health, turn)
+        return self.service_pools[service]
 
-    def take_record(self, record, now: float) -> list[Wire]:
+    def apply_record(self, record, now: float) -> list[ServerConnection]:
         """Takes a backend's record from the news; gives the wires to shut if it is gone.
 
-        >>> Yard(Settings("n", "r", "10.0.0.1", "z")).take_record(None, 0.0)
+        >>> ServerPools(Settings("n", "r", "10.0.0.1", "z")).apply_record(None, 0.0)
         []
         """
         if record is None:
@@ -78,16 +78,16 @@
             return []
         if record.phase == "gone":
             return self.remove(record.name)
-        address = split_address(record.address)
-        if address is None:
+        if not is_address(record.address):
             return []
+        address = split_address(record.address)
         doomed = []
         if backend and (backend.host, backend.port) != address:
             doomed = self.remove(record.name)
             backend = None
         if backend is None:
             backend = self.backends[record.name] = Backend(record.name, record.service)
-            self.ground(record.service).backends[record.name] = backend
+            self.service_pool(record.service).backends[record.name] = backend
         was = backend.role
         backend.host, backend.port = address
         backend.zone, backend.region = (
@@ -97,44 +97,44 @@
         backend.slots, backend.order = record.slots, record.order
         backend.role = record.role
         if record.role == "primary" and was != "primary":
-            backend.claimed_at = now
-            self.ground(record.service).rotation.forget(backend.name)
+            backend.primary_seen_at = now
+            self.service_pool(record.service).replica_health.forget(backend.name)
         if record.phase != backend.phase:
             backend.phase = record.phase
             backend.closing_at = now + self.settings.bounds.drain_ms / 1000 * SHARE_OF_BOUND
-            scribe.say("the backend %s is %s", backend.name, record.phase)
+            logger.info("the backend %s is %s", backend.name, record.phase)
         backend.cold_until = now + record.cold_ms / 1000
         return doomed
 
-    def remove(self, name: str) -> list[Wire]:
+    def remove(self, name: str) -> list[ServerConnection]:
         """Forgets a backend; gives its wires to shut.
 
-        >>> Yard(Settings("n", "r", "10.0.0.1", "z")).remove("i-1")
+        >>> ServerPools(Settings("n", "r", "10.0.0.1", "z")).remove("i-1")
         []
         """
         backend = self.backends.pop(name, None)
         if backend is None:
             return []
-        scribe.say("the backend %s is gone", name)
-        ground = self.ground(backend.service)
-        ground.backends.pop(name, None)
-        ground.rotation.forget(name)
-        return list(backend.wires.values())
+        logger.info("the backend %s is gone", name)
+        service_pool = self.service_pool(backend.service)
+        service_pool.backends.pop(name, None)
+        service_pool.replica_health.forget(name)
+        return list(backend.connections.values())
 
-    def take_evacuations(self, zones: list[str], now: float) -> None:
+    def apply_zone_drains(self, zones: list[str], now: float) -> None:
         """Takes the zones to be kept empty.
 
-        >>> yard = Yard(Settings("n", "r", "10.0.0.1", "z")); yard.take_evacuations(["a"], 1.0)
-        >>> yard.evacuated
+        >>> pools = ServerPools(Settings("n", "r", "10.0.0.1", "z")); pools.apply_zone_drains(["a"], 1.0)
+        >>> pools.draining_zones
         {'a': 1.0}
         """
-        self.evacuated = {zone: self.evacuated.get(zone, now) for zone in zones}
+        self.draining_zones = {zone: self.draining_zones.get(zone, now) for zone in zones}
 
     def closed_to_new(self, backend: Backend, now: float) -> bool:
         """Whether even the lead must get nothing more, its zone or itself being emptied.
 
-        >>> yard = Yard(Settings("n", "r", "10.0.0.1", "z")); backend = Backend("i-1", "svc")
-        >>> backend.zone = "z"; yard.closed_to_new(backend, 0.0)
+        >>> pools = ServerPools(Settings("n", "r", "10.0.0.1", "z")); backend = Backend("i-1", "svc")
+        >>> backend.zone = "z"; pools.closed_to_new(backend, 0.0)
         False
         """
         return self.zone_closed(backend, now) or (
@@ -144,11 +144,11 @@
     def zone_closed(self, backend: Backend, now: float) -> bool:
         """Whether the backend's zone is evacuated for so long that not even an open transaction may go on there.
 
-        >>> yard = Yard(Settings("n", "r", "10.0.0.1", "z")); backend = Backend("i-1", "svc"); backend.zone = "z"
-        >>> yard.take_evacuations(["z"], 0.0); yard.zone_closed(backend, 0.1), yard.zone_closed(backend, 60.0)
+        >>> pools = ServerPools(Settings("n", "r", "10.0.0.1", "z")); backend = Backend("i-1", "svc"); backend.zone = "z"
+        >>> pools.apply_zone_drains(["z"], 0.0); pools.zone_closed(backend, 0.1), pools.zone_closed(backend, 60.0)
         (False, True)
         """
-        since = self.evacuated.get(backend.zone)
+        since = self.draining_zones.get(backend.zone)
         return (
             since is not None
             and now >= since + self.settings.bounds.evac_ms / 1000 * SHARE_OF_BOUND
@@ -160,7 +160,7 @@
         >>> backend = Backend("i-1", "svc"); backend.region = "sul"
         >>> from sumacloom.pooler.routing import Rule
         >>> rule = Rule("r", "svc", "self", 1, 1, 1, 0, frozenset({"norte"}), {})
-        >>> Yard(Settings("n", "r", "10.0.0.1", "z")).at_home(backend, rule)
+        >>> ServerPools(Settings("n", "r", "10.0.0.1", "z")).at_home(backend, rule)
         False
         """
         return not (rule and rule.homes) or backend.region in rule.homes
@@ -168,7 +168,7 @@
     def warm_enough(self, backend: Backend, now: float) -> bool:
         """Whether the cold budget, shared out among the members, admits one more send; it is spent by asking.
 
-        >>> yard = Yard(Settings("n", "r", "10.0.0.1", "z")); yard.warm_enough(Backend("i-1", "svc"), 0.0)
+        >>> pools = ServerPools(Settings("n", "r", "10.0.0.1", "z")); pools.warm_enough(Backend("i-1", "svc"), 0.0)
         True
         """
         service = self.services.get(backend.service)
@@ -182,58 +182,60 @@
         backend.tokens -= 1.0
         return True
 
-    def lead_candidates(self, ground: Ground, rule, now: float) -> list[Backend]:
+    def primary_candidates(self, service_pool: ServicePool, rule, now: float) -> list[Backend]:
         """The backends that may lead, the newest claim first.
 
-        >>> yard = Yard(Settings("n", "r", "10.0.0.1", "z")); yard.lead_candidates(yard.ground("s"), None, 0.0)
+        >>> pools = ServerPools(Settings("n", "r", "10.0.0.1", "z")); pools.primary_candidates(pools.service_pool("s"), None, 0.0)
         []
         """
         return sorted(
             (
                 backend
-                for backend in ground.backends.values()
-                if backend.claimed_at > -1e9
+                for backend in service_pool.backends.values()
+                if backend.primary_seen_at > -1e9
                 and backend.role == "primary"
-                and now >= backend.refused_at + REFUSED_S
-                and (backend.idle or now >= backend.barred_until)
+                and now >= backend.read_only_at + REFUSED_S
+                and (backend.idle or now >= backend.backoff_until)
                 and not self.closed_to_new(backend, now)
                 and self.at_home(backend, rule)
             ),
-            key=lambda backend: -backend.claimed_at,
+            key=lambda backend: -backend.primary_seen_at,
         )
 
-    def draw_rotation(self, ground: Ground, rule, needed: Position, now: float) -> list[Backend]:
+    def select_replicas(
+        self, service_pool: ServicePool, rule, needed: Position, now: float
+    ) -> list[Backend]:
         """The replicas that may serve a read: the freshest first, and among equals the nearest.
 
         Replicas inside the band count as equally fresh, unless one is known to hold the needed
         position and another is known to lack it.
 
-        >>> yard = Yard(Settings("n", "r", "10.0.0.1", "z")); yard.draw_rotation(yard.ground("s"), None, Position(0, 0), 0.0)
+        >>> pools = ServerPools(Settings("n", "r", "10.0.0.1", "z")); pools.select_replicas(pools.service_pool("s"), None, Position(0, 0), 0.0)
         []
         """
-        soft, _hard = ground.rotation.bands()
+        soft, _hard = service_pool.replica_health.lag_limits()
         ranked = []
-        for replica in ground.rotation.inside():
-            backend = ground.backends.get(replica.name)
+        for replica in service_pool.replica_health.eligible():
+            backend = service_pool.backends.get(replica.name)
             if (
                 backend is None
                 or backend.role == "primary"
                 or backend.phase != "up"
-                or backend.zone in self.evacuated
-                or (now < backend.barred_until and not backend.idle)
+                or backend.zone in self.draining_zones
+                or (now < backend.backoff_until and not backend.idle)
                 or not self.at_home(backend, rule)
             ):
                 continue
             far = (backend.region != self.settings.region) + (backend.zone != self.settings.zone)
             lacks = replica.position < needed and replica.lag > 0
-            busy = len(backend.wires) - len(backend.idle)
-            crowded = busy >= max(1, backend.slots)
+            busy = len(backend.connections) - len(backend.idle)
+            at_capacity = busy >= max(1, backend.slots)
             ranked.append(
                 (
                     lacks,
-                    now < backend.shy_until,
+                    now < backend.deprioritized_until,
                     replica.lag > soft,
-                    crowded,
+                    at_capacity,
                     far,
                     busy,
                     -replica.position.number,
@@ -241,77 +243,85 @@
                     backend,
                 )
             )
-        ranked.sort()
+        ranked = sorted(ranked)
         return [entry[-1] for entry in ranked]
 
-    def share(self, backend: Backend) -> float:
+    def fair_share(self, backend: Backend) -> float:
         """This counter's fair share of the backend's connections; below 1 in a fleet larger than those.
 
-        >>> yard = Yard(Settings("n", "r", "10.0.0.1", "z")); yard.members = 2; round(yard.share(Backend("i-1", "svc")), 1)
+        >>> pools = ServerPools(Settings("n", "r", "10.0.0.1", "z")); pools.members = 2; round(pools.fair_share(Backend("i-1", "svc")), 1)
         11.2
         """
         service = self.services.get(backend.service)
         return (service.maxconn if service else 32) * SHARE_OF_MAXCONN / max(1, self.members)
 
-    def cap(self, backend: Backend, now: float) -> int:
+    def connection_limit(self, backend: Backend, now: float) -> int:
         """How many wires this counter may hold to the backend: its fair share, or a few more until told of a crowd.
 
         Until the members are counted it is a few: a fleet that starts at once would else take all of `maxconn` by
         whoever comes first.
 
-        >>> yard = Yard(Settings("n", "r", "10.0.0.1", "z")); yard.members = 1; yard.cap(Backend("i-1", "svc"), 0.0)
+        >>> pools = ServerPools(Settings("n", "r", "10.0.0.1", "z")); pools.members = 1; pools.connection_limit(Backend("i-1", "svc"), 0.0)
         22
         """
-        fair = max(1, min(MOST_WIRES if self.settled else FREE_WIRES, int(self.share(backend))))
-        return fair if now < backend.crowded_until else max(fair, FREE_WIRES)
+        fair = max(
+            1,
+            min(
+                MAX_CONNECTIONS if self.members_counted else UNCONTENDED_CONNECTIONS,
+                int(self.fair_share(backend)),
+            ),
+        )
+        return fair if now < backend.connection_limit_until else max(fair, UNCONTENDED_CONNECTIONS)
 
-    def note_crowd(self, backend: Backend, now: float) -> None:
+    def record_connection_limit(self, backend: Backend, now: float) -> None:
         """The backend has more connections than it takes: everyone keeps to the fair share for a while.
 
-        >>> backend = Backend("i-1", "s"); Yard(Settings("n", "r", "10.0.0.1", "z")).note_crowd(backend, 1.0)
-        >>> backend.crowded_until
+        >>> backend = Backend("i-1", "s"); ServerPools(Settings("n", "r", "10.0.0.1", "z")).record_connection_limit(backend, 1.0)
+        >>> backend.connection_limit_until
         6.0
         """
-        backend.crowded_until = now + CROWD_S
-        backend.barred_until = max(backend.barred_until, now + BACKOFF_S)
+        backend.connection_limit_until = now + CROWD_S
+        backend.backoff_until = max(backend.backoff_until, now + BACKOFF_S)
 
-    def last_wire(self, backend: Backend, now: float) -> bool:
+    def is_last_connection(self, backend: Backend, now: float) -> bool:
         """Whether the one idle wire is all that is left under the cap: it is kept for the priority lane.
 
-        >>> Yard(Settings("n", "r", "10.0.0.1", "z")).last_wire(Backend("i-1", "svc"), 0.0)
+        >>> ServerPools(Settings("n", "r", "10.0.0.1", "z")).is_last_connection(Backend("i-1", "svc"), 0.0)
         False
         """
-        return len(backend.idle) == 1 and 1 < self.cap(backend, now) <= len(backend.wires)
+        return len(backend.idle) == 1 and 1 < self.connection_limit(backend, now) <= len(
+            backend.connections
+        )
 
-    def kept_back(self, backend: Backend, errand, lanes: bool, now: float) -> bool:
+    def is_reserved(self, backend: Backend, pending, priority_databases: bool, now: float) -> bool:
         """Whether the last wire is not for this one: it is kept for the priority lane, or for sessions that share wires
         by the statement, which transactions with their pauses would else starve.
         """
-        if errand.packed:
-            backend.packed_at = now
-        laned = lanes and not errand.lane
+        if pending.shares_connection:
+            backend.statement_mode_at = now
+        lacks_priority = priority_databases and not pending.prioritized
         packs = (
-            not errand.packed
-            and errand.transaction is not None
-            and now - backend.packed_at < PACKED_S
+            not pending.shares_connection
+            and pending.transaction is not None
+            and now - backend.statement_mode_at < PACKED_S
         )
-        return (laned or packs) and self.last_wire(backend, now)
+        return (lacks_priority or packs) and self.is_last_connection(backend, now)
 
-    def take_wire(self, backend: Backend, values: dict, prepared) -> Wire | None:
+    def take_connection(self, backend: Backend, values: dict, prepared) -> ServerConnection | None:
         """An idle wire, one that fits the session before one that needs a RESET.
 
-        >>> Yard(Settings("n", "r", "10.0.0.1", "z")).take_wire(Backend("i-1", "svc"), {}, None) is None
+        >>> ServerPools(Settings("n", "r", "10.0.0.1", "z")).take_connection(Backend("i-1", "svc"), {}, None) is None
         True
         """
         best = None
-        for wire in reversed(backend.idle):
+        for connection in reversed(backend.idle):
             rank = (
-                wire.fits(values),
-                prepared is None or prepared in wire.names,
-                len(wire.values) == len(values),
+                connection.fits(values),
+                prepared is None or prepared in connection.names,
+                len(connection.values) == len(values),
             )
             if best is None or rank > best[0]:
-                best = (rank, wire)
+                best = (rank, connection)
             if rank == (True, True, True):
                 break
         if best is None:
@@ -319,109 +329,115 @@
         backend.idle.remove(best[1])
         return best[1]
 
-    def new_wire(self, backend: Backend, now: float) -> Wire | None:
+    def new_connection(self, backend: Backend, now: float) -> ServerConnection | None:
         """A wire to dial, if the cap and the backoff admit one.
 
-        >>> yard = Yard(Settings("n", "r", "10.0.0.1", "z")); backend = Backend("i-1", "svc"); backend.zone = "z"
-        >>> yard.new_wire(backend, 0.0).backend
+        >>> pools = ServerPools(Settings("n", "r", "10.0.0.1", "z")); backend = Backend("i-1", "svc"); backend.zone = "z"
+        >>> pools.new_connection(backend, 0.0).backend
         'i-1'
         """
         if (
-            now < backend.barred_until
-            or len(backend.wires) >= self.cap(backend, now)
+            now < backend.backoff_until
+            or len(backend.connections) >= self.connection_limit(backend, now)
             or self.closed_to_new(backend, now)
         ):
             return None
-        wire = Wire(self.next_key, backend.name, backend.service, now)
+        connection = ServerConnection(self.next_key, backend.name, backend.service, now)
         self.next_key += 1
-        backend.wires[wire.key] = wire
+        backend.connections[connection.key] = connection
         backend.dialing += 1
-        return wire
+        return connection
 
-    def prove_lead(
+    def prove_primary(
         self, backend: Backend, asked_at: float, position: Position | None, now: float
     ) -> None:
         """A success that only a leader can give.
 
-        >>> yard = Yard(Settings("n", "r", "10.0.0.1", "z")); backend = Backend("i-1", "s")
-        >>> yard.prove_lead(backend, 1.0, Position(3, 4), 1.0); yard.ground("s").lead_name
+        >>> pools = ServerPools(Settings("n", "r", "10.0.0.1", "z")); backend = Backend("i-1", "s")
+        >>> pools.prove_primary(backend, 1.0, Position(3, 4), 1.0); pools.service_pool("s").primary_name
         'i-1'
         """
-        ground = self.ground(backend.service)
-        backend.claimed_at = max(backend.claimed_at, asked_at)
+        service_pool = self.service_pool(backend.service)
+        backend.primary_seen_at = max(backend.primary_seen_at, asked_at)
         backend.role = "primary"
-        if ground.lead_name != backend.name and position and position >= ground.lead_seen:
-            ground.lead_name = backend.name
-            ground.rotation.forget(backend.name)
-            scribe.say(
+        if (
+            service_pool.primary_name != backend.name
+            and position
+            and position >= service_pool.primary_position
+        ):
+            service_pool.primary_name = backend.name
+            service_pool.replica_health.forget(backend.name)
+            logger.info(
                 "the backend %s leads %s in term %d", backend.name, backend.service, position.term
             )
         if position:
-            ground.lead_seen = max(ground.lead_seen, position)
-            ground.anchors.note(asked_at, position)
+            service_pool.primary_position = max(service_pool.primary_position, position)
+            service_pool.primary_positions.note(asked_at, position)
 
-    def sightings(self, since: float, now: float) -> list[Sighting]:
+    def observations(self, since: float, now: float) -> list[PositionObservation]:
         """The positions of replicas that this counter itself read after a moment.
 
-        >>> Yard(Settings("n", "r", "10.0.0.1", "z")).sightings(0.0, 1.0)
+        >>> ServerPools(Settings("n", "r", "10.0.0.1", "z")).observations(0.0, 1.0)
         []
         """
         return [
-            Sighting(replica.name, *replica.position, int((now - replica.seen_at) * 1000))
-            for ground in self.grounds.values()
-            for replica in ground.rotation.replicas.values()
+            PositionObservation(
+                replica.name, *replica.position, int((now - replica.seen_at) * 1000)
+            )
+            for service_pool in self.service_pools.values()
+            for replica in service_pool.replica_health.replicas.values()
             if replica.own_at is not None and replica.own_at > since
         ]
 
-    def take_sightings(self, sightings: list[Sighting], now: float) -> None:
+    def take_observations(self, observations: list[PositionObservation], now: float) -> None:
         """Positions that other counters read.
 
-        >>> Yard(Settings("n", "r", "10.0.0.1", "z")).take_sightings([], 1.0)
+        >>> ServerPools(Settings("n", "r", "10.0.0.1", "z")).take_observations([], 1.0)
         """
-        for sighting in sightings:
+        for sighting in observations:
             backend = self.backends.get(sighting.backend)
             if backend and backend.role != "primary" and backend.phase != "gone":
-                rotation = self.ground(backend.service).rotation
-                if sighting.backend in rotation.replicas:
-                    rotation.see(
+                replica_health = self.service_pool(backend.service).replica_health
+                if sighting.backend in replica_health.replicas:
+                    replica_health.see(
                         sighting.backend,
                         Position(sighting.term, sighting.number),
                         now - sighting.age_ms / 1000,
                         own=False,
                     )
 
-    def note_refusal(self, backend: Backend, now: float) -> None:
+    def record_read_only(self, backend: Backend, now: float) -> None:
         """The backend said RO: it does not lead.
 
-        >>> backend = Backend("i-1", "s"); Yard(Settings("n", "r", "10.0.0.1", "z")).note_refusal(backend, 4.0)
-        >>> backend.refused_at
+        >>> backend = Backend("i-1", "s"); ServerPools(Settings("n", "r", "10.0.0.1", "z")).record_read_only(backend, 4.0)
+        >>> backend.read_only_at
         4.0
         """
-        backend.refused_at = now
+        backend.read_only_at = now
 
-    def note_mishap(self, backend: Backend, now: float) -> None:
+    def record_failure(self, backend: Backend, now: float) -> None:
         """A wire of the backend was refused, cut or went silent: it rests for a growing while.
 
-        >>> backend = Backend("i-1", "s"); Yard(Settings("n", "r", "10.0.0.1", "z")).note_mishap(backend, 4.0)
-        >>> backend.barred_until
+        >>> backend = Backend("i-1", "s"); ServerPools(Settings("n", "r", "10.0.0.1", "z")).record_failure(backend, 4.0)
+        >>> backend.backoff_until
         4.15
         """
-        if now < backend.barred_until:
+        if now < backend.backoff_until:
             return
         backend.backoff = min(MOST_BACKOFF_S, backend.backoff * 2 or BACKOFF_S)
-        backend.barred_until = now + backend.backoff
-        if backend.dark_since is None:
-            backend.dark_since = now
-            scribe.say("the backend %s can't be reached", backend.name)
-        self.ground(backend.service).rotation.silent(backend.name, now)
+        backend.backoff_until = now + backend.backoff
+        if backend.unreachable_since is None:
+            backend.unreachable_since = now
+            logger.info("the backend %s can't be reached", backend.name)
+        self.service_pool(backend.service).replica_health.silent(backend.name, now)
 
-    def note_well(self, backend: Backend) -> None:
+    def record_success(self, backend: Backend) -> None:
         """A wire of the backend came up or answered.
 
-        >>> backend = Backend("i-1", "s"); Yard(Settings("n", "r", "10.0.0.1", "z")).note_well(backend)
+        >>> backend = Backend("i-1", "s"); ServerPools(Settings("n", "r", "10.0.0.1", "z")).record_success(backend)
         """
-        if backend.dark_since is not None:
-            scribe.say("the backend %s can be reached again", backend.name)
-        backend.dark_since = None
+        if backend.unreachable_since is not None:
+            logger.info("the backend %s can be reached again", backend.name)
+        backend.unreachable_since = None
         backend.backoff = 0.0
-        backend.barred_until = 0.0
+        backend.backoff_until = 0.0
--- a/sumacloom/pooler/service_pool.py
+++ b/sumacloom/pooler/service_pool.py
@@ -1,8 +1,8 @@
 """One backend and one service, as a counter sees them."""
 
-from sumacloom.pooler.primary_positions import Anchors
-from sumacloom.pooler.replica_health import Rotation
-from sumacloom.types import ORIGIN
+from sumacloom.pooler.primary_positions import PrimaryPositions
+from sumacloom.pooler.replica_health import ReplicaHealth
+from sumacloom.types import LOG_START
 
 MOST_RESENDS, RESENDS_PER_S, RESENDS_PER_SUCCESS = 20.0, 5.0, 0.5
 
@@ -12,81 +12,83 @@
 
     __slots__ = (
         "backoff",
-        "barred_until",
-        "claimed_at",
+        "backoff_until",
         "closing_at",
         "cold_until",
-        "crowded_until",
-        "dark_since",
+        "connection_limit_until",
+        "connections",
+        "deprioritized_until",
         "dialing",
         "host",
         "idle",
         "name",
         "order",
-        "packed_at",
         "phase",
         "port",
-        "refused_at",
+        "primary_seen_at",
+        "read_only_at",
         "region",
         "role",
         "service",
-        "shy_until",
         "slots",
+        "statement_mode_at",
         "tokens",
         "tokens_at",
-        "wires",
+        "unreachable_since",
         "zone",
     )
 
     def __init__(self, name: str, service: str):
         self.name, self.service = name, service
         self.order = (-1, -1)
-        self.wires, self.idle, self.dialing = {}, [], 0
-        self.backoff = self.barred_until = 0.0
-        self.refused_at = -1e9
-        self.claimed_at = -1e9
+        self.connections, self.idle, self.dialing = {}, [], 0
+        self.backoff = self.backoff_until = 0.0
+        self.read_only_at = -1e9
+        self.primary_seen_at = -1e9
         self.closing_at = None
         self.tokens, self.tokens_at = 1.0, 0.0
         self.role, self.phase = "replica", "up"
         self.cold_until = 0.0
-        self.dark_since = None
-        self.crowded_until = self.packed_at = -1e9
-        self.shy_until = -1e9  # it failed or shed a statement of ours: reads go elsewhere first
+        self.unreachable_since = None
+        self.connection_limit_until = self.statement_mode_at = -1e9
+        self.deprioritized_until = (
+            -1e9
+        )  # it failed or shed a statement of ours: reads go elsewhere first
 
 
-class Ground:
+class ServicePool:
     """One service: its backends, rotation and anchors."""
 
     __slots__ = (
-        "anchors",
         "backends",
-        "headless_since",
-        "lead_name",
-        "lead_seen",
         "name",
         "pending_until",
+        "primary_name",
+        "primary_position",
+        "primary_positions",
         "read_at",
+        "replica_health",
         "resends",
         "resends_at",
-        "rotation",
         "seeking",
         "swept_at",
+        "without_primary_since",
     )
 
     def __init__(self, name: str, health, turn: float):
         self.name = name
         self.backends = {}
-        self.rotation = Rotation(health, turn)
-        self.anchors = Anchors()
-        self.seeking = self.headless_since = None
+        self.replica_health = ReplicaHealth(health, turn)
+        self.primary_positions = PrimaryPositions()
+        self.seeking = self.without_primary_since = None
         self.swept_at = self.read_at = self.pending_until = -1e9
-        self.lead_seen, self.lead_name = ORIGIN, ""
+        self.primary_position, self.primary_name = LOG_START, ""
         self.resends, self.resends_at = MOST_RESENDS, 0.0
 
     def may_resend(self, now: float) -> bool:
         """Takes one of the service's resends, so that a backend in trouble is not met with more and more of them.
 
-        >>> ground = Ground("svc", None, 0.0); [ground.may_resend(0.0) for _try in range(25)].count(True)
+        >>> service_pool = ServicePool("svc", None, 0.0); [service_pool.may_resend(0.0) for _try in range(25)].count(True)
         20
         """
         self.resends = min(MOST_RESENDS, self.resends + (now - self.resends_at) * RESENDS_PER_S)
@@ -99,7 +101,7 @@
     def succeeded(self) -> None:
         """A statement succeeded: the service has earned part of a resend.
 
-        >>> ground = Ground("svc", None, 0.0); ground.resends = 3.0; ground.succeeded(); ground.resends
+        >>> service_pool = ServicePool("svc", None, 0.0); service_pool.resends = 3.0; service_pool.succeeded(); service_pool.resends
         3.5
         """
         self.resends = min(MOST_RESENDS, self.resends + RESENDS_PER_SUCCESS)
--- a/sumacloom/pooler/session.py
+++ b/sumacloom/pooler/session.py
@@ -12,11 +12,11 @@
 class Statement(NamedTuple):
     """A statement decoded: its sort, id, text as sent, and the shape it runs if prepared.
 
-    >>> decode("5c FETCH a", {}).sort
+    >>> decode("5c FETCH a", {}).kind
     'read'
     """
 
-    sort: str  # read write commit abort begin begin_read set prep free malformed nosuch
+    kind: str  # read write commit abort begin begin_read set prep free malformed nosuch
     id: str
     text: str
     name: str = ""
@@ -28,26 +28,28 @@
     """A client's transaction; its wire is drawn at the first statement, not at BEGIN."""
 
     __slots__ = (
-        "doubtful",
+        "connection",
         "failed",
         "mode",
-        "ran",
         "rested_at",
         "rule",
-        "touched",
-        "wire",
+        "statements_run",
+        "unclear",
+        "values_changed",
         "writes",
     )
 
     def __init__(self, rule, mode: str, now: float):
         self.rule, self.mode = rule, mode
-        self.wire = None
+        self.connection = None
         self.failed = ""
-        self.touched = False  # SET inside it: the wire's record is not to be trusted after an ABORT
-        self.ran = 0  # statements that succeeded
+        self.values_changed = (
+            False  # SET inside it: the wire's record is not to be trusted after an ABORT
+        )
+        self.statements_run = 0  # statements that succeeded
         self.writes = []  # those of them that write, as listeners get them
         self.rested_at = now
-        self.doubtful = False  # its backend no longer knew of it: no promise
+        self.unclear = False  # its backend no longer knew of it: no promise
 
 
 class Session:
@@ -58,12 +60,12 @@
         "closed",
         "database",
         "ending",
-        "errand",
         "key",
         "last_commit",
         "mode",
         "names",
         "opened_at",
+        "pending",
         "plain",
         "region",
         "splitter",
@@ -83,7 +85,7 @@
         self.splitter = LineSplitter()
         self.database = None
         self.values, self.names = {}, {}
-        self.transaction = self.errand = self.last_commit = None
+        self.transaction = self.pending = self.last_commit = None
         self.waiting = deque()
         self.opened_at = now
         self.closed = self.ending = False  # ending: the client sends no more, but may read
@@ -130,7 +132,7 @@
 def read_fetch(statement_id, text, rest, names):
     """FETCH thing.
 
-    >>> read_fetch("1", "FETCH a", "a", {}).sort
+    >>> read_fetch("1", "FETCH a", "a", {}).kind
     'read'
     """
     return Statement("read", statement_id, text) if word(rest) else None
@@ -140,7 +142,7 @@
 def read_put(statement_id, text, rest, names):
     """PUT thing data.
 
-    >>> read_put("1", "PUT a b c", "a b c", {}).sort
+    >>> read_put("1", "PUT a b c", "a b c", {}).kind
     'write'
     """
     thing, blank, data = rest.partition(" ")
@@ -151,18 +153,18 @@
 def read_begin(statement_id, text, rest, names):
     """BEGIN, or BEGIN FETCH for a transaction that only reads.
 
-    >>> read_begin("1", "BEGIN FETCH", "FETCH", {}).sort
+    >>> read_begin("1", "BEGIN FETCH", "FETCH", {}).kind
     'begin_read'
     """
-    sort = {"": "begin", "FETCH": "begin_read"}.get(rest)
-    return sort and Statement(sort, statement_id, text)
+    kind = {"": "begin", "FETCH": "begin_read"}.get(rest)
+    return kind and Statement(kind, statement_id, text)
 
 
 @reads("COMMIT")
 def read_commit(statement_id, text, rest, names):
     """COMMIT.
 
-    >>> read_commit("1", "COMMIT", "", {}).sort
+    >>> read_commit("1", "COMMIT", "", {}).kind
     'commit'
     """
     return None if rest else Statement("commit", statement_id, text)
@@ -172,7 +174,7 @@
 def read_abort(statement_id, text, rest, names):
     """ABORT.
 
-    >>> read_abort("1", "ABORT", "", {}).sort
+    >>> read_abort("1", "ABORT", "", {}).kind
     'abort'
     """
     return None if rest else Statement("abort", statement_id, text)
@@ -207,7 +209,7 @@
 def read_exec(statement_id, text, rest, names):
     """EXEC name thing [data]; the session's prepared shape says whether it reads or writes.
 
-    >>> read_exec("1", "EXEC s a", "s a", {"s": ("FETCH", "q")}).sort
+    >>> read_exec("1", "EXEC s a", "s a", {"s": ("FETCH", "q")}).kind
     'read'
     """
     name, blank, arguments = rest.partition(" ")
@@ -216,15 +218,15 @@
     prepared = names.get(name)
     if prepared is None:
         return Statement("nosuch", statement_id, text, name)
-    sort = "read" if prepared[0] == "FETCH" else "write"
-    return Statement(sort, statement_id, text, name, arguments, prepared)
+    kind = "read" if prepared[0] == "FETCH" else "write"
+    return Statement(kind, statement_id, text, name, arguments, prepared)
 
 
 @reads("FREE")
 def read_free(statement_id, text, rest, names):
     """FREE name.
 
-    >>> read_free("1", "FREE s", "s", {}).sort
+    >>> read_free("1", "FREE s", "s", {}).kind
     'nosuch'
     """
     if not word(rest):
@@ -235,9 +237,9 @@
 def decode(rest: str, names: dict) -> Statement:
     """Decodes what follows QUERY; what can't be read is `malformed` and goes nowhere.
 
-    >>> decode("5c PAUSE 7", {}).sort
+    >>> decode("5c PAUSE 7", {}).kind
     'malformed'
-    >>> decode("- FETCH a", {}).sort
+    >>> decode("- FETCH a", {}).kind
     'malformed'
     """
     statement_id, _blank, text = rest.partition(" ")
@@ -249,12 +251,12 @@
     return statement or Statement("malformed", statement_id, text)
 
 
-def wire_text(statement: Statement, wire_names: dict) -> str:
+def server_text(statement: Statement, server_names: dict) -> str:
     """The text as a wire must carry it: unchanged, but for the wire's own prepared name.
 
-    >>> wire_text(decode("1 FETCH a", {}), {})
+    >>> server_text(decode("1 FETCH a", {}), {})
     'FETCH a'
     """
     if statement.prepared is None:
         return statement.text
-    return f"EXEC {wire_names[statement.prepared]} {statement.rest}"
+    return f"EXEC {server_names[statement.prepared]} {statement.rest}"
--- a/sumacloom/pooler/status_report.py
+++ b/sumacloom/pooler/status_report.py
@@ -1,39 +1,43 @@
 """A counter's own state, for the admin API."""
 
-from sumacloom.transport.update_cache import body_digest, list_digest, pool_digest
+from sumacloom.transport.update_cache import (
+    body_checksum,
+    pool_modes_checksum,
+    subscribers_checksum,
+)
 
 
-def report_of(floor, member, now: float) -> dict:
+def report_of(core, controller_session, now: float) -> dict:
     """The counter's row and its rotation's rows."""
-    settings, yard = floor.settings, floor.yard
-    digest = member.board.digest()
-    counter = {
+    settings, pools = core.settings, core.pools
+    digest = controller_session.cache.digest()
+    pooler = {
         "node": settings.node,
         "zone": settings.zone,
-        "ready": floor.ready,
-        "leaving": floor.leaving,
-        "blueprint": floor.blueprint.ver if floor.blueprint else 0,
-        "body": body_digest(member.board.packed),
-        "evacuations": digest.evacuations,
-        "lanes": ",".join(sorted(floor.lanes)),
-        "lanes_held": digest.lanes,
-        "listeners": digest.listeners,
-        "listeners_digest": list_digest(member.board.listeners),
-        "unnoted": len(floor.spooling.unnoted),
-        "parent": member.parent_address or "registrar",
-        "access": floor.gate.access.generation if floor.gate.access else 0,
+        "ready": core.ready,
+        "leaving": core.leaving,
+        "blueprint": core.configuration.ver if core.configuration else 0,
+        "body": body_checksum(controller_session.cache.compressed),
+        "evacuations": digest.zone_drains,
+        "lanes": ",".join(sorted(core.priority_databases)),
+        "lanes_held": digest.priority,
+        "listeners": digest.subscribers,
+        "listeners_digest": subscribers_checksum(controller_session.cache.subscribers),
+        "unnoted": len(core.delivery.unacknowledged),
+        "parent": controller_session.parent_address or "registrar",
+        "access": core.access_control.access.version if core.access_control.access else 0,
         "access_held": digest.access,
-        "pooling": digest.pooling,
-        "pooling_digest": pool_digest(member.board.pool_rows),
-        "registrar": member.attached,
-        "sessions": len(floor.sessions),
-        "waiting": sum(map(len, floor.waitlists.values())),
-        "wires": len(floor.wires),
+        "pooling": digest.pool_modes,
+        "pooling_digest": pool_modes_checksum(controller_session.cache.pool_modes),
+        "registrar": controller_session.controller_address,
+        "sessions": len(core.sessions),
+        "waiting": sum(map(len, core.queues.values())),
+        "wires": len(core.connections),
     }
-    rotation = [
+    replica_health = [
         {
             "node": settings.node,
-            "service": ground.name,
+            "service": service_pool.name,
             "backend": backend.name,
             "leads": backend.role == "primary",
             "state": replica.state
@@ -44,18 +48,18 @@
             "seen_ms": round((now - replica.seen_at) * 1000)
             if replica and replica.seen_at is not None
             else -1,
-            "wires": len(backend.wires),
+            "wires": len(backend.connections),
             "idle": len(backend.idle),
         }
-        for ground in yard.grounds.values()
-        for backend in ground.backends.values()
-        for replica in [ground.rotation.replicas.get(backend.name)]
+        for service_pool in pools.service_pools.values()
+        for backend in service_pool.backends.values()
+        for replica in [service_pool.replica_health.replicas.get(backend.name)]
     ]
     return {
-        "counter": counter,
-        "rotation": rotation,
-        "access": floor.gate.rows(settings.node),
+        "counter": pooler,
+        "rotation": replica_health,
+        "access": core.access_control.rows(settings.node),
         "sharing": [
-            {"node": settings.node, **row} for row in floor.pooling.report(floor.sessions.values())
+            {"node": settings.node, **row} for row in core.pool_modes.report(core.sessions.values())
         ],
     }
--- a/sumacloom/pooler/timers.py
+++ b/sumacloom/pooler/timers.py
@@ -1,21 +1,22 @@
 """What a counter does by the clock: cutoffs, sweeps, warm wires, leaving in order."""
 
-from sumacloom.logs import Scribe
+import logging
+
 from sumacloom.pooler import completion, connection_loss, delivery, delivery_timers  # noqa: F401  (delivery_timers serves a stage)
-from sumacloom.pooler.core import LEAVING, Floor
+from sumacloom.pooler.core import SHUTDOWN, PoolerCore
 from sumacloom.pooler.stage_timers import AT, stage
 
-scribe = Scribe("upkeep")
-SETUP_CUTOFF_S = 0.25
+logger = logging.getLogger(__name__)
+SETUP_TIMEOUT_S = 0.25
 STILL_S = (
     0.25  # between two looks at the clock: this counter stood still, and reads before it judges
 )
-OWN_CUTOFF_S = 0.8
+INTERNAL_TIMEOUT_S = 0.8
 UNREAD_S = 5.0  # where nothing was drawn from a rotation for so long, it is not swept
-DIAL_CUTOFF_S = 0.8
+DIAL_TIMEOUT_S = 0.8
 READ_AGAIN_S = 0.9
 UNLISTED_S = 2.3
-LOGIN_CUTOFF_S = 5.0
+LOGIN_TIMEOUT_S = 5.0
 WARM_EVERY_S = 0.5
 SCARCE_S = 1.0
 SPARE_S = 2.0  # idle for so long, a wire above the cap is closed: others may have none
@@ -26,195 +27,214 @@
 HELD_ALONE = 0.04  # and for this one by a counter that hears no settled registrar
 
 
-def tick(floor: Floor, now: float) -> None:
+def tick(core: PoolerCore, now: float) -> None:
     """All that is due; the shell calls it some twenty times a second."""
-    since, floor.ticked_at = floor.ticked_at, now
-    floor.stood_still = since is not None and now - since > STILL_S and not floor.stood_still
-    if floor.stood_still:
+    since, core.ticked_at = core.ticked_at, now
+    core.stalled = since is not None and now - since > STILL_S and not core.stalled
+    if core.stalled:
         return  # answers may lie unread that came while nobody looked
-    for errand in [errand for errand in floor.active if errand.stage in AT]:
-        AT[errand.stage](floor, errand, now)
-    for service, waitlist in floor.waitlists.items():
-        if waitlist:
-            floor.pump(service, now)
-    if now - floor.warmed_at >= WARM_EVERY_S:
-        floor.warmed_at = now
-        end_resting(floor, now)
-        check_wires(floor, now)
-        warm(floor, now)
-        sweep(floor, now)
-    delivery.tell_again(floor, now)
-    if floor.leaving not in ("serving", "gone"):
-        leave_step(floor, now)
+    for pending in [pending for pending in core.active if pending.stage in AT]:
+        AT[pending.stage](core, pending, now)
+    for service, queue in core.queues.items():
+        if queue:
+            core.dispatch(service, now)
+    if now - core.warmed_at >= WARM_EVERY_S:
+        core.warmed_at = now
+        end_resting(core, now)
+        check_connections(core, now)
+        warm(core, now)
+        sweep(core, now)
+    delivery.resend_outcomes(core, now)
+    if core.leaving not in ("serving", "gone"):
+        advance_shutdown(core, now)
 
 
 @stage("waiting")
-def check_waiting(floor, errand, now: float) -> None:
+def check_waiting(core, pending, now: float) -> None:
     """An errand that can't be started in time is given up at once, not at the end."""
-    ground = floor.yard.ground(errand.rule.service)
-    headless = ground.headless_since is not None and now - ground.headless_since >= LONG_OUTAGE_S
-    held = now - errand.received
+    service_pool = core.pools.service_pool(pending.rule.service)
+    without_primary = (
+        service_pool.without_primary_since is not None
+        and now - service_pool.without_primary_since >= LONG_OUTAGE_S
+    )
+    held = now - pending.received_at
     lost = (
-        floor.alone and ground.headless_since is not None
+        core.isolated and service_pool.without_primary_since is not None
     )  # a new lead may stand where we can't hear of it
-    share = HELD_ALONE if lost else HELD_LONG if headless else HELD_SHARE
-    hold = errand.rule.goal_s * share if now >= ground.pending_until else errand.rule.statement_s
-    if held >= min(hold, errand.rule.statement_s * MOST_HELD):
-        session = errand.session
-        completion.refuse(floor, errand, now)
-        if lost and session.state == "I" and session.errand is None:
-            floor.shut_session(session, now)  # it meets another counter, which may be better placed
+    fair_share = HELD_ALONE if lost else HELD_LONG if without_primary else HELD_SHARE
+    hold = (
+        pending.rule.goal_s * fair_share
+        if now >= service_pool.pending_until
+        else pending.rule.statement_s
+    )
+    if held >= min(hold, pending.rule.statement_s * MOST_HELD):
+        session = pending.session
+        completion.refuse(core, pending, now)
+        if lost and session.state == "I" and session.pending is None:
+            core.shut_session(session, now)  # it meets another counter, which may be better placed
 
 
 @stage("setup")
-def check_setup(floor, errand, now: float) -> None:
+def check_setup(core, pending, now: float) -> None:
     """A wire that leaves our own texts unanswered is dark."""
     bound = (
-        errand.transaction and errand.transaction.ran
+        pending.transaction and pending.transaction.statements_run
     )  # a silence here would end it, not send it elsewhere
-    if now >= errand.cutoff or (not bound and now - errand.ran_at >= SETUP_CUTOFF_S):
-        connection_loss.backend_silent(floor, errand.wire, "its setup went unanswered", now)
+    if now >= pending.deadline or (not bound and now - pending.sent_at >= SETUP_TIMEOUT_S):
+        connection_loss.backend_silent(core, pending.connection, "its setup went unanswered", now)
 
 
 @stage("paused")
-def check_paused(floor, errand, now: float) -> None:
+def check_paused(core, pending, now: float) -> None:
     """A statement that found its backend busy goes out again on the same wire."""
-    if now >= errand.cutoff:
-        completion.fail_transaction(floor, errand, "BUSY", now)
-    elif now >= errand.pause_until:
-        floor.run(errand, now)
+    if now >= pending.deadline:
+        completion.fail_transaction(core, pending, "BUSY", now)
+    elif now >= pending.not_before:
+        core.run(pending, now)
 
 
 @stage("run")
-def check_running(floor, errand, now: float) -> None:
+def check_running(core, pending, now: float) -> None:
     """A statement past its time-out is told so; a slow single read tries elsewhere once."""
-    wire, session = errand.wire, errand.session
-    if now >= errand.cutoff:
-        if errand.transaction:
-            errand.transaction.failed, errand.transaction.wire = "told", None
-            if errand.statement.sort == "commit":
+    connection, session = pending.connection, pending.session
+    if now >= pending.deadline:
+        if pending.transaction:
+            pending.transaction.failed, pending.transaction.connection = "told", None
+            if pending.statement.kind == "commit":
                 session.transaction = None
-        completion.finish(floor, errand, ["ERR TIMEDOUT the statement took too long"], now)
-        wire.owner = None
-        connection_loss.wire_lost(floor, wire, "a statement took too long", now)
+        completion.finish(core, pending, ["ERR TIMEDOUT the statement took too long"], now)
+        connection.owner = None
+        connection_loss.connection_lost(core, connection, "a statement took too long", now)
     elif (
-        errand.only_reads
-        and errand.transaction is None
-        and errand.sends < 2
-        and now - errand.ran_at >= READ_AGAIN_S
+        pending.only_reads
+        and pending.transaction is None
+        and pending.attempts < 2
+        and now - pending.sent_at >= READ_AGAIN_S
     ):
-        connection_loss.wire_lost(floor, wire, "a read took too long", now)
+        connection_loss.connection_lost(core, connection, "a read took too long", now)
 
 
-def end_resting(floor, now: float) -> None:
+def end_resting(core, now: float) -> None:
     """Ends transactions that rest too long, and connections that never log in."""
-    rest_s = floor.blueprint.limits.tx_idle_ms / 1000 if floor.blueprint else 3.0
-    for session in list(floor.sessions.values()):
+    rest_s = core.configuration.limits.tx_idle_ms / 1000 if core.configuration else 3.0
+    for session in list(core.sessions.values()):
         transaction = session.transaction
-        if session.database is None and now - session.opened_at >= LOGIN_CUTOFF_S:
-            floor.shut_session(session, now)
-        elif transaction and transaction.wire and session.errand is None:
-            backend = floor.yard.backends.get(transaction.wire.backend)
-            closed = backend is not None and floor.yard.closed_to_new(backend, now)
+        if session.database is None and now - session.opened_at >= LOGIN_TIMEOUT_S:
+            core.shut_session(session, now)
+        elif transaction and transaction.connection and session.pending is None:
+            backend = core.pools.backends.get(transaction.connection.backend)
+            closed = backend is not None and core.pools.closed_to_new(backend, now)
             if closed or now - transaction.rested_at >= rest_s:
-                wire, transaction.wire, transaction.failed = transaction.wire, None, "ROLLEDBACK"
-                completion.release(floor, wire, now, touched=transaction.touched)
+                connection, transaction.connection, transaction.failed = (
+                    transaction.connection,
+                    None,
+                    "ROLLEDBACK",
+                )
+                completion.release(core, connection, now, values_changed=transaction.values_changed)
 
 
-def check_wires(floor, now: float) -> None:
+def check_connections(core, now: float) -> None:
     """Closes wires that leave a text of our own unanswered."""
     late = [
-        wire
-        for wire in floor.wires.values()
-        if wire.owner is None
-        and (wire.expected or not wire.open)
-        and now - (wire.asked_at if wire.open else wire.opened_at)
-        >= (OWN_CUTOFF_S if wire.open else DIAL_CUTOFF_S)
+        connection
+        for connection in core.connections.values()
+        if connection.owner is None
+        and (connection.expected or not connection.open)
+        and now - (connection.asked_at if connection.open else connection.opened_at)
+        >= (INTERNAL_TIMEOUT_S if connection.open else DIAL_TIMEOUT_S)
     ]
-    for wire in late:
-        connection_loss.wire_lost(floor, wire, "it went silent", now)
+    for connection in late:
+        connection_loss.connection_lost(core, connection, "it went silent", now)
 
 
-def warm(floor, now: float) -> None:
+def warm(core, now: float) -> None:
     """Keeps one wire to every backend that this counter may need; where connections are scarce, none unused."""
-    if floor.blueprint is None:
+    if core.configuration is None:
         return
-    wanted = {route.svc for route in floor.blueprint.routes}
-    for backend in floor.yard.backends.values():
-        closed = backend.phase != "up" or backend.zone in floor.yard.evacuated
-        scarce = floor.yard.share(backend) < 1
-        if backend.service in wanted and not backend.wires and not closed and not scarce:
-            floor.dial(backend, now)
-        for wire in [wire for wire in backend.idle if scarce and now - wire.idle_since >= SCARCE_S]:
-            completion.drop(floor, wire)
-        spare = max(0, len(backend.wires) - floor.yard.cap(backend, now))
-        for wire in [wire for wire in backend.idle if now - wire.idle_since >= SPARE_S][:spare]:
-            completion.drop(floor, wire)
-
-
-def sweep(floor, now: float) -> None:
+    wanted = {route.svc for route in core.configuration.routes}
+    for backend in core.pools.backends.values():
+        closed = backend.phase != "up" or backend.zone in core.pools.draining_zones
+        scarce = core.pools.fair_share(backend) < 1
+        if backend.service in wanted and not backend.connections and not closed and not scarce:
+            core.dial(backend, now)
+        for connection in [
+            connection
+            for connection in backend.idle
+            if scarce and now - connection.idle_since >= SCARCE_S
+        ]:
+            completion.drop(core, connection)
+        spare = max(0, len(backend.connections) - core.pools.connection_limit(backend, now))
+        for connection in [
+            connection for connection in backend.idle if now - connection.idle_since >= SPARE_S
+        ][:spare]:
+            completion.drop(core, connection)
+
+
+def sweep(core, now: float) -> None:
     """Asks each replica for its position once a second, unless traffic showed it or nobody reads."""
-    if floor.leaving != "serving":
+    if core.leaving != "serving":
         return
-    for ground in floor.yard.grounds.values():
+    for service_pool in core.pools.service_pools.values():
         if (
-            now - ground.swept_at < floor.settings.health.sweep_s * 0.9
-            or now - ground.read_at > UNREAD_S
+            now - service_pool.swept_at < core.settings.health.sweep_s * 0.9
+            or now - service_pool.read_at > UNREAD_S
         ):
             continue
-        ground.swept_at = now
+        service_pool.swept_at = now
         due = [
             backend
-            for backend in ground.backends.values()
-            if backend.role != "primary" and backend.idle and ground.rotation.due(backend.name, now)
+            for backend in service_pool.backends.values()
+            if backend.role != "primary"
+            and backend.idle
+            and service_pool.replica_health.due(backend.name, now)
         ]
         for backend in due:
-            wire = backend.idle.pop()
-            floor.effects.append(("send", wire.key, wire.ask("stat", "-", "STAT", now)))
+            connection = backend.idle.pop()
+            core.effects.append(("send", connection.key, connection.ask("stat", "-", "STAT", now)))
 
 
-def sigterm(floor, now: float) -> None:
+def sigterm(core, now: float) -> None:
     """The platform asks this process to end."""
-    if floor.leaving == "serving":
-        floor.leaving_at = now
-        leave(floor, "sigterm", now)
+    if core.leaving == "serving":
+        core.leaving_at = now
+        shutdown_event(core, "sigterm", now)
 
 
-def leave_step(floor, now: float) -> None:
+def advance_shutdown(core, now: float) -> None:
     """Walks the chart `leaving` by the clock."""
-    grace = floor.settings.bounds.grace_s
-    gone_for = now - floor.leaving_at
+    grace = core.settings.bounds.grace_s
+    gone_for = now - core.leaving_at
     if gone_for >= min(UNLISTED_S, grace * 0.4):
-        leave(floor, "unlisted", now)
+        shutdown_event(core, "unlisted", now)
     if gone_for >= grace / 2:
-        leave(floor, "half", now)
+        shutdown_event(core, "half", now)
     if gone_for >= grace * 0.8:
-        leave(floor, "late", now)
-    if not floor.sessions:
-        leave(floor, "empty", now)
+        shutdown_event(core, "late", now)
+    if not core.sessions:
+        shutdown_event(core, "empty", now)
 
 
-def leave(floor, event: str, now: float) -> None:
+def shutdown_event(core, event: str, now: float) -> None:
     """One event of leaving, and what the chart says to do."""
-    floor.leaving, actions = LEAVING.step(floor.leaving, event)
+    core.leaving, actions = SHUTDOWN.step(core.leaving, event)
     for action in actions:
         if action == "say_leaving":
-            scribe.say("leaving: no longer ready, serving on")
+            logger.info("leaving: no longer ready, serving on")
         elif action == "freeze_health":
-            for ground in floor.yard.grounds.values():
-                ground.rotation.frozen = True
+            for service_pool in core.pools.service_pools.values():
+                service_pool.replica_health.frozen = True
         elif action == "close_idle":
-            completion.close_idle(floor, now)
+            completion.close_idle(core, now)
         elif action == "end_transactions":
-            for session in list(floor.sessions.values()):
+            for session in list(core.sessions.values()):
                 transaction = session.transaction
-                if transaction and session.errand is None:
-                    if transaction.wire:
-                        completion.release(floor, transaction.wire, now, touched=True)
-                    transaction.wire = None
+                if transaction and session.pending is None:
+                    if transaction.connection:
+                        completion.release(core, transaction.connection, now, values_changed=True)
+                    transaction.connection = None
                     transaction.failed = transaction.failed or "ROLLEDBACK"
         elif action == "end_asked":
-            for errand in list(floor.active):
-                connection_loss.errand_ended(floor, errand, now)
+            for pending in list(core.active):
+                connection_loss.abandon_statement(core, pending, now)
         elif action == "exit":
-            floor.effects.append(("exit",))
+            core.effects.append(("exit",))
