--- a/sumacloom/settings.py
+++ b/sumacloom/settings.py
@@ -1,22 +1,40 @@
-"""The settings file: read, checked, unknown fields ignored."""
+"""The settings file: read, checked, unknown fields ignored.
+
+Names and forms are those of the operators' pages; `Health` and `PoolSettings` are our own. Fields end in
+their unit: `_s` seconds, `_ms` milliseconds, `_mb` megabytes.
+"""
 
 import os
 import tomllib
+from typing import Any
 
 import msgspec
 
-from sumacloom.errors import Err, Ok, Result, mishap
+from sumacloom.errors import (
+    DeploymentInvalidError,
+    SettingsInvalidError,
+    SettingsMissingError,
+    SumacloomError,
+)
+from sumacloom.logs import LEVELS
 
-VARIABLE = "SUMACLOOM_NODE_FILE"
+SETTINGS_VARIABLE = "SUMACLOOM_NODE_FILE"
+POOLER, CONTROLLER = "pooler", "controller"
+REQUIRED_LISTEN = {POOLER: ("fe", "readyz"), CONTROLLER: ("ctl",)}
+MAX_PORT = 65535
 
 
 class Listen(msgspec.Struct):
+    """Where the role serves: clients, the readiness probe, operators and backends."""
+
     fe: str = ""
     readyz: str = ""
     ctl: str = ""
 
 
 class Limits(msgspec.Struct, rename="camel"):
+    """What this machine gives a process."""
+
     cpu: float = 1.0
     ncpu: int = 1
     mem_mb: int = 300
@@ -26,12 +44,16 @@
 
 
 class Tolerate(msgspec.Struct):
+    """What may be lost at once with all rules kept."""
+
     nodes: int = 1
     azs: int = 0
     rgns: int = 0
 
 
 class Bounds(msgspec.Struct, rename="camel"):
+    """The figures of the operators' rules."""
+
     seed_lag_s: float = 3
     reuse_s: float = 2
     contact_ms: float = 5000
@@ -53,6 +75,8 @@
 
 
 class Cloud(msgspec.Struct, rename="camel"):
+    """The platform: its address, and the calls that it takes."""
+
     addr: str = ""
     rate_per_s: float = 50.0
     jobs: list[str] = []
@@ -60,7 +84,7 @@
 
 
 class Health(msgspec.Struct, rename="camel"):
-    """The paper's band, in milliseconds of log; ours, and open to change."""
+    """The lag limits of replica health, in milliseconds of log; our own, and open to change."""
 
     soft_lag_ms: float = 400
     hard_lag_ms: float = 1500
@@ -72,22 +96,30 @@
 
 
 class PoolSettings(msgspec.Struct, rename="camel"):
-    """How pool modes are judged from what sessions do; ours, and open to change."""
+    """How pool modes are judged from what sessions do; our own, and open to change.
+
+    Attributes:
+        on: whether modes are judged at all.
+        relax_requests: requests seen before a database is judged `statement`.
+        relax_s: seconds over which they were seen; doubled each time that a judgement was taken back.
+        relax_share: at most this share of them with a transaction, a session value or a prepared name.
+        tighten_share: from this share on a database is judged `transaction` again.
+        session_requests: plain requests after which a tightened session is in `statement` mode again.
+        session_s: seconds after which it may be.
+    """
 
     on: bool = True
-    relax_requests: int = 50  # seen here before a database is judged `statement`
-    relax_s: float = 10.0  # and over so long; doubled each time that the judgement was taken back
-    relax_share: float = (
-        0.15  # at most so many of them with a transaction, a value or a prepared name
-    )
-    tighten_share: float = 0.3  # from so many on it is judged `transaction` again
-    session_requests: int = (
-        8  # a session that was tightened is packed again after so many plain requests
-    )
-    session_s: float = 5.0  # and so long
+    relax_requests: int = 50
+    relax_s: float = 10.0
+    relax_share: float = 0.15
+    tighten_share: float = 0.3
+    session_requests: int = 8
+    session_s: float = 5.0
 
 
 class Settings(msgspec.Struct, rename="camel"):
+    """A whole settings file."""
+
     node: str
     role: str
     ip: str
@@ -113,124 +145,155 @@
     log_level: str = "INFO"
 
 
-def split_address(text: str) -> tuple[str, int] | None:
-    """Parts IP:PORT; None if it is not one.
+def split_address(text: str) -> tuple[str, int]:
+    """Splits IP:PORT.
 
     >>> split_address("10.0.0.1:80")
     ('10.0.0.1', 80)
-    >>> split_address("nonsense") is None
-    True
+
+    Raises:
+        ValueError: it is not one.
     """
     host, colon, port = text.rpartition(":")
-    if not (colon and host and port.isdigit() and 0 < int(port) < 65536):
-        return None
+    if not (colon and host and port.isdigit() and 0 < int(port) <= MAX_PORT):
+        raise ValueError(f"'{text}' is not IP:PORT")
     return host, int(port)
 
 
-def parse_settings(text: str, role: str) -> Result:
+def is_address(text: str) -> bool:
+    """Whether a text is IP:PORT.
+
+    >>> is_address("10.0.0.1:80"), is_address("nonsense")
+    (True, False)
+    """
+    try:
+        split_address(text)
+    except ValueError:
+        return False
+    return True
+
+
+def parse_settings(text: str, role: str) -> Settings:
     """Reads the settings of a role from TOML text.
 
-    >>> parse_settings("node = 1", "counter").err().name
-    'settings_invalid'
+    Raises:
+        SettingsInvalidError: the text is not TOML, or a field is missing or wrong.
+        DeploymentInvalidError: the role can't run on this machine.
     """
     try:
         found = tomllib.loads(text)
-        if (
-            isinstance(found.get("bounds"), dict) and "lease_ms" in found["bounds"]
-        ):  # as the rules spell it
-            found["bounds"].setdefault("leaseMs", found["bounds"]["lease_ms"])
+        _accept_rules_spelling(found)
         settings = msgspec.convert(found, Settings)
     except tomllib.TOMLDecodeError as error:
-        return Err(mishap("settings_invalid", f"the settings file is not TOML: {error}"))
+        raise SettingsInvalidError(f"the settings file is not TOML: {error}") from error
     except msgspec.ValidationError as error:
-        return Err(mishap("settings_invalid", f"the settings file is invalid: {error}"))
-    needed = {"counter": ["fe", "readyz"], "registrar": ["ctl"]}[role]
-    wrong = [name for name in needed if split_address(getattr(settings.listen, name)) is None]
-    if wrong:
-        return Err(mishap("settings_invalid", f"listen.{wrong[0]} must be IP:PORT for a {role}"))
-    bad_seeds = [seed for seed in settings.seeds if split_address(seed) is None]
-    if bad_seeds:
-        return Err(mishap("settings_invalid", f"the seed '{bad_seeds[0]}' is not IP:PORT"))
+        raise SettingsInvalidError(f"the settings file is invalid: {error}") from error
+    found_error = _find_error(settings, role)
+    if found_error is not None:
+        raise found_error
+    return settings
+
+
+def _accept_rules_spelling(found: dict[str, Any]) -> None:
+    """The rules spell one bound `lease_ms`, unlike all others: both spellings are read."""
+    bounds = found.get("bounds")
+    if isinstance(bounds, dict) and "lease_ms" in bounds:
+        bounds.setdefault("leaseMs", bounds["lease_ms"])
+
+
+def _find_error(settings: Settings, role: str) -> SumacloomError | None:
+    return (
+        _find_address_error(settings, role)
+        or _find_deployment_error(settings, role)
+        or _find_tuning_error(settings)
+    )
+
+
+def _find_address_error(settings: Settings, role: str) -> SumacloomError | None:
+    for name in REQUIRED_LISTEN[role]:
+        if not is_address(getattr(settings.listen, name)):
+            return SettingsInvalidError(f"listen.{name} must be IP:PORT for a {role}")
+    for seed in settings.seeds:
+        if not is_address(seed):
+            return SettingsInvalidError(f"the seed '{seed}' is not IP:PORT")
     low, high = settings.port_range
-    if not 0 < low < high < 65536:
-        return Err(mishap("settings_invalid", "portRange must hold two rising ports"))
-    if role == "registrar" and not settings.datadir:
-        return Err(mishap("deploy_invalid", "a registrar needs a datadir"))
-    if role == "registrar" and settings.bootstrap and not settings.seeds:
-        return Err(
-            mishap(
-                "deploy_invalid",
-                "a registrar's first start (bootstrap) needs seeds: they are the first voters",
-            )
+    if not 0 < low < high <= MAX_PORT:
+        return SettingsInvalidError("portRange must hold two rising ports")
+    return None
+
+
+def _find_deployment_error(settings: Settings, role: str) -> SumacloomError | None:
+    if role != CONTROLLER:
+        return None
+    if not settings.datadir:
+        return DeploymentInvalidError("a controller needs a datadir")
+    if settings.bootstrap and not settings.seeds:
+        return DeploymentInvalidError(
+            "a controller's first start (bootstrap) needs seeds: they are the first voters"
         )
-    if settings.log_level not in ("DEBUG", "INFO", "WARNING", "ERROR"):
-        return Err(mishap("settings_invalid", "logLevel must be DEBUG, INFO, WARNING or ERROR"))
+    return None
+
+
+def _find_tuning_error(settings: Settings) -> SumacloomError | None:
+    if settings.log_level not in LEVELS:
+        return SettingsInvalidError(f"logLevel must be {', '.join(LEVELS[:-1])} or {LEVELS[-1]}")
     if not 0 < settings.health.soft_lag_ms <= settings.health.hard_lag_ms:
-        return Err(mishap("settings_invalid", "health: 0 < softLagMs <= hardLagMs must hold"))
+        return SettingsInvalidError("health: 0 < softLagMs <= hardLagMs must hold")
     pooling = settings.pooling
     if not 0 <= pooling.relax_share < pooling.tighten_share <= 1:
-        return Err(
-            mishap("settings_invalid", "pooling: 0 <= relaxShare < tightenShare <= 1 must hold")
-        )
-    if (
-        min(pooling.relax_requests, pooling.session_requests) < 1
-        or min(pooling.relax_s, pooling.session_s) < 0
-    ):
-        return Err(mishap("settings_invalid", "pooling: requests must be above 0, times not below"))
-    return Ok(settings)
+        return SettingsInvalidError("pooling: 0 <= relaxShare < tightenShare <= 1 must hold")
+    if min(pooling.relax_requests, pooling.session_requests) < 1:
+        return SettingsInvalidError("pooling: requests must be above 0, times not below")
+    if min(pooling.relax_s, pooling.session_s) < 0:
+        return SettingsInvalidError("pooling: requests must be above 0, times not below")
+    return None
+
+
+def read_settings(role: str, path: str = "") -> Settings:
+    """Reads the file at `path`, or the one that the variable names.
+
+    Raises:
+        SettingsMissingError: there is no such file, or it can't be read.
+        SettingsInvalidError: its content is wrong.
+        DeploymentInvalidError: the role can't run on this machine.
+    """
+    path = path or os.environ.get(SETTINGS_VARIABLE, "")
+    if not path:
+        raise SettingsMissingError(f"{SETTINGS_VARIABLE} must name the settings file")
+    try:
+        with open(path, encoding="utf-8") as file:
+            text = file.read()
+    except (OSError, UnicodeDecodeError) as error:
+        raise SettingsMissingError(f"the settings file can't be read: {error}") from error
+    return parse_settings(text, role)
 
 
 class FileWatch:
     """Notices that the settings file changed, with or without a signal.
 
-    >>> FileWatch("/nowhere").changed(1.0)
+    >>> FileWatch("/nowhere").has_changed(1.0)
     False
     """
 
     EVERY_S = 1.0
 
     def __init__(self, path: str = ""):
-        self.path = path or os.environ.get(VARIABLE, "")
-        self.looked_at = 0.0
-        self.seen = self.look()
-
-    def look(self):
-        """What tells one state of the file from another.
+        self.path = path or os.environ.get(SETTINGS_VARIABLE, "")
+        self.checked_at = 0.0
+        self.identity = self._read_identity()
 
-        >>> FileWatch("/nowhere").look() is None
-        True
-        """
+    def _read_identity(self) -> tuple[int, int, int] | None:
+        """What tells one state of the file from another; None while there is no file."""
         try:
             found = os.stat(self.path)
         except OSError:
             return None
         return found.st_mtime_ns, found.st_size, found.st_ino
 
-    def changed(self, now: float) -> bool:
-        """Whether the file is another than at the last look; looks once a second.
-
-        >>> FileWatch("/nowhere").changed(0.5)
-        False
-        """
-        if now - self.looked_at < self.EVERY_S:
+    def has_changed(self, now: float) -> bool:
+        """Whether the file is another than at the last check; checks once a second."""
+        if now - self.checked_at < self.EVERY_S:
             return False
-        self.looked_at = now
-        seen, self.seen = self.seen, self.look()
-        return self.seen is not None and self.seen != seen
-
-
-def read_settings(role: str, path: str = "") -> Result:
-    """Reads the file that the variable names, or the path given.
-
-    >>> read_settings("counter", "/nowhere").err().code
-    1001
-    """
-    path = path or os.environ.get(VARIABLE, "")
-    if not path:
-        return Err(mishap("settings_missing", f"{VARIABLE} must name the settings file"))
-    try:
-        with open(path, encoding="utf-8") as file:
-            text = file.read()
-    except (OSError, UnicodeDecodeError) as error:
-        return Err(mishap("settings_missing", f"the settings file can't be read: {error}"))
-    return parse_settings(text, role)
+        self.checked_at = now
+        before, self.identity = self.identity, self._read_identity()
+        return self.identity is not None and self.identity != before
--- a/sumacloom/signals.py
+++ b/sumacloom/signals.py
@@ -1,40 +1,35 @@
-"""Signals as flags that the clock looks at; a handler itself does nothing else."""
+"""Signals as flags that the process's clock looks at; a handler does nothing else."""
 
 import signal
+from types import FrameType
 
 
 class Signals:
     """Remembers SIGTERM (or SIGINT) and SIGHUP until they are taken.
 
-    >>> signals = Signals(); signals.raise_flag(signal.SIGHUP, None); signals.take_hangup(), signals.take_hangup()
+    >>> signals = Signals(); signals.handle(signal.SIGHUP, None)
+    >>> signals.take_hangup(), signals.take_hangup()
     (True, False)
     """
 
-    def __init__(self):
-        self.ending = self.hangup = False
+    def __init__(self) -> None:
+        self.terminating = False
+        self._hangup = False
 
-    def listen(self) -> "Signals":
+    def install(self) -> "Signals":
         """Installs the handlers."""
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-            signal.signal(number, self.raise_flag)
+            signal.signal(number, self.handle)
         return self
 
-    def raise_flag(self, number: int, _frame) -> None:
-        """The handler.
-
-        >>> signals = Signals(); signals.raise_flag(signal.SIGTERM, None); signals.ending
-        True
-        """
+    def handle(self, number: int, _frame: FrameType | None) -> None:
+        """The handler."""
         if number == signal.SIGHUP:
-            self.hangup = True
+            self._hangup = True
         else:
-            self.ending = True
+            self.terminating = True
 
     def take_hangup(self) -> bool:
-        """Whether a SIGHUP came since the last look.
-
-        >>> Signals().take_hangup()
-        False
-        """
-        came, self.hangup = self.hangup, False
+        """Whether a SIGHUP came since the last call."""
+        came, self._hangup = self._hangup, False
         return came
--- a/sumacloom/state_machines/__init__.py
+++ b/sumacloom/state_machines/__init__.py
@@ -1,7 +1,7 @@
-"""State charts as data files, and the small interpreter that runs them.
+"""State machines as tables in JSON files, and the small interpreter that runs them.
 
-A chart file is JSON: {"start": STATE, "states": {STATE: {EVENT: [NEXT, ACTION, ...]}}}.
-The state "*" holds the events that every state takes.
+A file is {"start": STATE, "states": {STATE: {EVENT: [NEXT, ACTION, ...]}}}. The state "*" holds the events
+that every state takes.
 """
 
 import json
@@ -9,42 +9,49 @@
 from functools import cache
 from typing import NamedTuple
 
+ANY_STATE = "*"
 
-class Chart(NamedTuple):
-    """A chart as read from its file.
 
-    >>> load_chart("replica_health").start
-    'outside'
-    """
+class Transition(NamedTuple):
+    """The next state, and the actions to carry out."""
+
+    state: str
+    actions: list[str]
+
+
+class StateMachine(NamedTuple):
+    """A state machine as read from its file."""
 
     name: str
     start: str
-    states: dict
+    states: dict[str, dict[str, list[str]]]
 
-    def step(self, state: str, event: str) -> tuple[str, list[str]]:
-        """The next state and the actions to do; an event the state doesn't know changes nothing.
+    def step(self, state: str, event: str) -> Transition:
+        """The transition that an event makes; one that the state doesn't know changes nothing.
 
-        >>> load_chart("replica_health").step("inside", "hard")[0]
+        >>> load_state_machine("replica_health").step("inside", "hard").state
         'outside'
         """
-        line = self.states[state].get(event) or self.states.get("*", {}).get(event)
-        return (line[0], line[1:]) if line else (state, [])
+        line = self.states[state].get(event) or self.states.get(ANY_STATE, {}).get(event)
+        return Transition(line[0], line[1:]) if line else Transition(state, [])
 
 
 @cache
-def load_chart(name: str) -> Chart:
-    """Reads and checks the chart file of that name.
+def load_state_machine(name: str) -> StateMachine:
+    """Reads and checks the file of that name.
 
-    >>> load_chart("graceful_shutdown").start
+    >>> load_state_machine("graceful_shutdown").start
     'serving'
+
+    Raises:
+        ValueError: a transition leads to a state that isn't there.
     """
     path = os.path.join(os.path.dirname(__file__), name + ".json")
     with open(path, encoding="utf-8") as file:
         data = json.load(file)
     states = data["states"]
-    unknown = [
-        line[0] for events in states.values() for line in events.values() if line[0] not in states
-    ]
-    if unknown or data["start"] not in states:
-        raise ValueError(f"chart {name}: unknown states {unknown}")
-    return Chart(name, data["start"], states)
+    targets = {line[0] for events in states.values() for line in events.values()}
+    unknown = sorted((targets | {data["start"]}) - set(states))
+    if unknown:
+        raise ValueError(f"state machine {name}: unknown states {unknown}")
+    return StateMachine(name, data["start"], states)
--- a/sumacloom/transport/__init__.py
+++ b/sumacloom/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between daemons and the links that carry them."""
+"""How daemons speak to one another: links, framing, messages, and the updates that they pass on."""
--- a/sumacloom/transport/link.py
+++ b/sumacloom/transport/link.py
@@ -1,32 +1,48 @@
-"""Sockets under curio: links that carry messages, outlets that never wait."""
+"""Sockets under curio: connections in bounded time, send buffers that never block, links of messages."""
 
+import contextlib
+import logging
 import socket
 from collections import deque
+from collections.abc import AsyncIterator, Awaitable, Callable
+from typing import Any
 
 import curio
 
-from sumacloom.transport.messages import Unframer, frame
+from sumacloom.transport.messages import FrameDecoder, Hello, Message, encode_frame
+from sumacloom.transport.updates import UpdateDigest
 
-USER_TIMEOUT_MS = 1500
-MOST_PENDING = 4 << 20
+USER_TIMEOUT_MS = 1500  # within which the kernel gives a dead peer up
+DIAL_TIMEOUT_S = 0.8
+MAX_PENDING_BYTES = 4 << 20
+RECEIVE_BYTES = 65536
+RESTART_S = 0.1
+ACCEPT_RETRY_S = 0.05
+LISTEN_BACKLOG = 256
 
 
-def tune(raw: socket.socket, user_timeout_ms: int = USER_TIMEOUT_MS) -> None:
-    """Small messages at once, and a dead peer known soon.
-
-    >>> tune(socket.socket())
-    """
+def configure_socket(raw: socket.socket, user_timeout_ms: int = USER_TIMEOUT_MS) -> None:
+    """Sends small messages at once, and notices a dead peer soon."""
     raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     if user_timeout_ms:
         raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, user_timeout_ms)
 
 
-async def dial(host: str, port: int, cutoff_s: float = 0.8, user_timeout_ms: int = USER_TIMEOUT_MS):
-    """Opens a connection in bounded time; raises OSError if it can't."""
+async def dial(
+    host: str,
+    port: int,
+    timeout_s: float = DIAL_TIMEOUT_S,
+    user_timeout_ms: int = USER_TIMEOUT_MS,
+) -> Any:
+    """Opens a connection in bounded time.
+
+    Raises:
+        OSError: it can't be opened, or not in time.
+    """
     sock = curio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        tune(sock._socket, user_timeout_ms)
-        async with curio.timeout_after(cutoff_s):
+        configure_socket(sock._socket, user_timeout_ms)
+        async with curio.timeout_after(timeout_s):
             await sock.connect((host, port))
     except curio.TaskTimeout:
         await sock.close()
@@ -37,23 +53,21 @@
     return sock
 
 
-async def kept(scribe, function, *values) -> None:
-    """Runs a task for good: a mishap in it is logged, and it begins again."""
+async def run_forever(
+    logger: logging.Logger, function: Callable[..., Awaitable[Any]], *arguments: Any
+) -> None:
+    """Runs a task to its end; an unexpected error in it is logged, and it starts again."""
     while True:
         try:
-            await function(*values)
+            await function(*arguments)
+        except Exception:
+            logger.warning("%s failed; it starts again", function.__name__, exc_info=True)
+            await curio.sleep(RESTART_S)
+        else:
             return
-        except Exception as error:
-            scribe.warn(
-                "%s ended with %s: %s; it begins again",
-                function.__name__,
-                type(error).__name__,
-                error,
-            )
-            await curio.sleep(0.1)
 
 
-def listen(host: str, port: int, backlog: int = 256):
+def listen(host: str, port: int, backlog: int = LISTEN_BACKLOG) -> Any:
     """A listening socket."""
     sock = curio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -62,41 +76,33 @@
     return sock
 
 
-async def accept_all(sock, serve) -> None:
-    """Takes connections for ever, each served by a task of its own."""
+async def accept_forever(sock: Any, serve: Callable[[Any], Awaitable[Any]]) -> None:
+    """Accepts connections, each served by a task of its own."""
     while True:
         try:
             client, _address = await sock.accept()
         except OSError:
-            await curio.sleep(0.05)
+            await curio.sleep(ACCEPT_RETRY_S)
             continue
         await curio.spawn(serve, client, daemon=True)
 
 
-class Outlet:
-    """The sending side of a socket: writes at once what fits, keeps the rest for `flush`.
+class SendBuffer:
+    """The sending side of a socket: sends at once what fits, keeps the rest for `flush`."""
 
-    >>> Outlet(None).pending
-    0
-    """
-
-    __slots__ = ("closed", "pending", "sock", "waiting")
+    __slots__ = ("chunks", "closed", "pending_bytes", "sock")
 
-    def __init__(self, sock):
+    def __init__(self, sock: Any):
         self.sock = sock
-        self.waiting = deque()
-        self.pending = 0
+        self.chunks: deque[bytes] = deque()
+        self.pending_bytes = 0
         self.closed = False
 
     def send(self, data: bytes) -> bool:
-        """Sends, or keeps what does not fit; False once the peer is gone or never reads.
-
-        >>> outlet = Outlet(None); outlet.closed = True; outlet.send(b"x")
-        False
-        """
+        """Sends, or keeps what does not fit; False once the peer is gone or does not read."""
         if self.closed:
             return False
-        if not self.waiting:
+        if not self.chunks:
             try:
                 sent = self.sock._socket.send(data)
             except (BlockingIOError, InterruptedError):
@@ -107,21 +113,17 @@
             if sent == len(data):
                 return True
             data = data[sent:]
-        self.waiting.append(data)
-        self.pending += len(data)
-        if self.pending > MOST_PENDING:
+        self.chunks.append(data)
+        self.pending_bytes += len(data)
+        if self.pending_bytes > MAX_PENDING_BYTES:
             self.closed = True
             return False
         return True
 
     def flush(self) -> bool:
-        """Sends more of what waits; True once nothing does.
-
-        >>> Outlet(None).flush()
-        True
-        """
-        while self.waiting and not self.closed:
-            data = self.waiting[0]
+        """Sends more of what is kept; True once nothing is."""
+        while self.chunks and not self.closed:
+            data = self.chunks[0]
             try:
                 sent = self.sock._socket.send(data)
             except (BlockingIOError, InterruptedError):
@@ -129,62 +131,60 @@
             except OSError:
                 self.closed = True
                 break
-            self.pending -= sent
+            self.pending_bytes -= sent
             if sent == len(data):
-                self.waiting.popleft()
+                self.chunks.popleft()
             else:
-                self.waiting[0] = data[sent:]
+                self.chunks[0] = data[sent:]
         return True
 
 
 class Link:
-    """A connection between two daemons."""
+    """A connection between two daemons.
+
+    Attributes:
+        peer: the Hello of the far end, once it came.
+        last_heartbeat_at: when the far end was last heard, by whoever keeps account of it.
+        digest: what the far end holds, as it last said.
+    """
 
-    def __init__(self, sock):
+    def __init__(self, sock: Any):
         self.sock = sock
-        self.outlet = Outlet(sock)
-        self.unframer = Unframer()
-        self.peer = None  # the Hello of the far end
-        self.heard_at = 0.0
-        self.ended = False
-        self.digest = None  # what the far end holds, as it last said
-
-    def send(self, message) -> bool:
-        """Sends a message, or drops it if the link is gone.
-
-        >>> Link(None).outlet.pending
-        0
-        """
-        self.outlet.flush()
-        return self.outlet.send(frame(message))
-
-    async def messages(self):
+        self.send_buffer = SendBuffer(sock)
+        self.peer: Hello | None = None
+        self.last_heartbeat_at = 0.0
+        self.aborted = False
+        self.digest: UpdateDigest | None = None
+        self._decoder = FrameDecoder()
+
+    def send(self, message: Message) -> bool:
+        """Sends a message, or drops it if the link is gone."""
+        self.send_buffer.flush()
+        return self.send_buffer.send(encode_frame(message))
+
+    async def messages(self) -> AsyncIterator[Any]:
         """The messages that arrive, until the link ends."""
         while True:
             try:
-                data = await self.sock.recv(65536)
+                data = await self.sock.recv(RECEIVE_BYTES)
                 if not data:
                     return
-                arrived = self.unframer.feed(data)
+                arrived = self._decoder.feed(data)
             except (OSError, ValueError):
                 return
             for message in arrived:
-                if self.ended:  # by us: what still lies unread is not taken
+                if self.aborted:  # what still lies unread is not taken
                     return
                 yield message
 
-    def end(self) -> None:
+    def abort(self) -> None:
         """Ends the link at once, from any task; its reader then sees the end."""
-        self.ended = self.outlet.closed = True
-        try:
-            self.sock._socket.shutdown(2)
-        except OSError:
-            pass
+        self.aborted = self.send_buffer.closed = True
+        with contextlib.suppress(OSError):
+            self.sock._socket.shutdown(socket.SHUT_RDWR)
 
     async def close(self) -> None:
-        """Ends the link."""
-        self.outlet.closed = True
-        try:
+        """Closes the link's socket."""
+        self.send_buffer.closed = True
+        with contextlib.suppress(OSError):
             await self.sock.close()
-        except OSError:
-            pass
--- a/sumacloom/transport/messages.py
+++ b/sumacloom/transport/messages.py
@@ -1,177 +1,177 @@
-"""What daemons say to one another, as msgspec structures."""
+"""Messages between daemons besides those of the consensus, and their framing.
 
-from typing import Union
+Tags and the order of fields are those of the first release and are part of the wire: both a class and
+a field may be renamed, neither a tag nor a place may change. The same holds for `POOLER_ROLE` and
+`CONTROLLER_ROLE`, which name the programs in `Hello`.
+"""
+
+from typing import Any, Union
 
 import msgspec
 
 from sumacloom.consensus.messages import (
     Accept,
     Accepted,
-    Copy,
-    Decided,
-    Fetch,
+    Committed,
+    CommittedValue,
+    FetchCommitted,
     Message,
     Prepare,
     Promise,
-    Query,
-    Reconfigured,
-    Refused,
-    Settled,
-    Tell,
-    Told,
+    QuorumChanged,
+    ReadReply,
+    ReadRequest,
+    Rejected,
+    StateRequest,
+    StateTransfer,
 )
-from sumacloom.consensus.quorum import Configuration
+from sumacloom.consensus.proposal_number import ProposalNumber
+from sumacloom.consensus.quorum import QuorumConfiguration
 from sumacloom.transport.updates import (
-    AccessNews,
-    Digest,
-    LaneNews,
-    ListenNews,
-    PoolNews,
-    Record,
-    Sighting,
+    AccessUpdate,
+    BackendRecord,
+    PoolModeUpdate,
+    PositionObservation,
+    PriorityUpdate,
+    SubscriberUpdate,
+    UpdateDigest,
 )
-from sumacloom.types import Ballot
 
+POOLER_ROLE, CONTROLLER_ROLE = "counter", "registrar"
+LENGTH_BYTES = 4
+MAX_FRAME_BYTES = 16 << 20
+
+
+class Hello(Message, tag="Hello"):
+    """The first message on a link: who dials."""
 
-class Hello(Message):
     node: str
     role: str
     zone: str
     address: str  # where this daemon takes links
     ip: str = ""
-    life: int = 0  # tells one life of a process from the next
+    incarnation: int = 0  # tells one incarnation of a process from the next
 
 
-class MemberBeat(Message):
-    """A counter's heartbeat; `report` is its own state for the admin API, sent when asked for."""
+class PoolerHeartbeat(Message, tag="MemberBeat"):
+    """A pooler's heartbeat; `report` is its own state for the admin API, sent when asked for."""
 
-    digest: Digest
-    mishaps: list[str] = []
-    positions: list[Sighting] = []
-    report: dict | None = None
+    digest: UpdateDigest
+    failed_backends: list[str] = []
+    positions: list[PositionObservation] = []
+    report: dict[str, Any] | None = None
     leaving: bool = False  # it is being stopped: its end is no loss
-    stamp: float | None = (
-        None  # the sender's own clock, to be confirmed where an access list is in use
-    )
-    minds: list[
-        tuple[str, str, str, int]
-    ] = []  # changes of mind about pool modes, see counter/pooling.py
-    sent_ms: int = 0  # by the sender's own clock; the answer names it
+    stamp: float | None = None  # its clock, to be confirmed where an access list is in use
+    pool_mode_votes: list[tuple[str, str, str, int]] = []  # see pooler/pool_mode.py
+    sent_ms: int = 0  # by the sender's clock; the reply names it
 
 
-class RegistrarBeat(Message):
-    """A registrar's heartbeat to a counter: news it holds, members, where to take news from."""
+class ControllerHeartbeat(Message, tag="RegistrarBeat"):
+    """A controller's heartbeat to a pooler: updates it holds, members, where to take updates from."""
 
-    digest: Digest
+    digest: UpdateDigest
     members: int
     parent: str
-    registrars: list[str]
-    positions: list[Sighting] = []
+    controllers: list[str]
+    positions: list[PositionObservation] = []
     want_report: bool = False
     log_level: str = ""
-    settled: bool = True  # whether this registrar hears a majority and lacks nothing decided
-    confirmed: float | None = (
-        None  # the newest stamp older than a reading of the access list at a majority
-    )
-    answers_ms: int = 0  # the counter's newest beat heard here, by the counter's own clock; 0: none
+    in_quorum: bool = True  # whether this controller is in contact with a quorum and lacks nothing
+    confirmed: float | None = None  # the newest stamp older than a quorum read of the access list
+    answers_ms: int = 0  # the pooler's newest heartbeat received, by its own clock; 0: none
 
 
-class Follow(Message):
+class Follow(Message, tag="Follow"):
     """A child tells its parent what it holds; the parent sends what is newer, now and later."""
 
-    digest: Digest
+    digest: UpdateDigest
 
 
-class News(Message):
+class Update(Message, tag="News"):
     """Only what the receiver lacks."""
 
-    blueprint: bytes | None
-    evacuations: int
+    configuration: bytes | None
+    zone_drains: int
     zones: list[str] | None
-    records: list[Record] | None
-    lanes: LaneNews | None = None
-    listeners: ListenNews | None = None
-    access: AccessNews | None = None
-    pooling: PoolNews | None = None
+    records: list[BackendRecord] | None
+    priority: PriorityUpdate | None = None
+    subscribers: SubscriberUpdate | None = None
+    access: AccessUpdate | None = None
+    pool_modes: PoolModeUpdate | None = None
 
 
-class PeerBeat(Message):
-    """Between registrars: what is decided, who is in session, which backends were heard.
+class PeerHeartbeat(Message, tag="PeerBeat"):
+    """Between controllers: what is committed, who is in session, which backends were heard.
 
-    What rarely changes is told when it does, and now and then for those who missed it.
+    What rarely changes is sent when it does, and now and then for those who missed it; None then says
+    "as last sent". Ages are in ms.
     """
 
-    decided: dict[str, Ballot] | None  # None: as last told
-    sessions: (
-        list[tuple[str, str, str, int, int, int]] | None
-    )  # see Members.told; None: as last told
-    heard: dict[str, int]  # backend: ms since its last beat; only those heard anew
-    dark: dict[str, int]  # backend: ms since probes first failed here
-    hears: dict[str, int]  # registrar: the number of its newest beat heard here
-    records: list[Record] | None
+    committed: dict[str, ProposalNumber] | None
+    sessions: list[tuple[str, str, str, int, int, int]] | None  # see Members.rows_for_peers
+    backend_ages: dict[str, int]  # backend: since its last heartbeat; only those heard anew
+    unreachable_ages: dict[str, int]  # backend: since probes first failed here
+    heartbeats_received: dict[str, int]  # controller: the number of its newest heartbeat here
+    records: list[BackendRecord] | None
     digest: int  # of the records held
-    learned: bool
+    recovered: bool
     suspects: list[str] = []
-    positions: list[Sighting] = []
-    configuration: Configuration | None = (
-        None  # who votes, as this registrar knows; None: as last told
-    )
+    positions: list[PositionObservation] = []
+    quorum: QuorumConfiguration | None = None
     voting: bool = False  # whether its settings say that it counts as a voter
-    number: int = 0  # of this beat; the peers name it in `hears`
-    undecided: dict[
-        str, Ballot
-    ] = {}  # told with `decided`: what is accepted here and not known to be decided
+    number: int = 0  # of this heartbeat; the peers name it in `heartbeats_received`
+    uncommitted: dict[str, ProposalNumber] = {}  # accepted here and not known to be committed
     tolerates: int = 0  # how many machines its settings say may be lost at once
 
 
-class Inquire(Message):
-    """A registrar asks a peer for its part of the fleet's state."""
+class TablesRequest(Message, tag="Inquire"):
+    """A controller asks a peer for its part of the fleet's tables."""
 
     number: int
 
 
-class Part(Message):
+class TablesReply(Message, tag="Part"):
     """A peer's part: tables of rows."""
 
     number: int
-    tables: dict[str, list[dict]]
+    tables: dict[str, list[dict[str, Any]]]
 
 
-class Pending(Message):
-    """A new lead of a service is on its way: what waits for it may be held a little longer."""
+class PrimaryPending(Message, tag="Pending"):
+    """A new primary of a service is on its way: what waits for it may be held a little longer."""
 
     service: str
     seconds: float
 
 
-class Level(Message):
+class SetLogLevel(Message, tag="Level"):
     """The log level that an operator sets for the whole fleet, until each process ends."""
 
     level: str
 
 
-class Intent(Message):
-    """A counter is about to send a write on a database that is listened to."""
+class DeliveryIntent(Message, tag="Intent"):
+    """A pooler is about to send a write on a database that has subscribers."""
 
-    life: int
-    number: int  # rises by one for each database and life
+    incarnation: int
+    number: int  # rises by one for each database and incarnation
     database: str
     text: str
     node: str
 
 
-class Held(Message):
+class IntentStored(Message, tag="Held"):
     """The intent is on disk: the write may go."""
 
-    life: int
+    incarnation: int
     number: int
     database: str
 
 
-class Verdict(Message):
-    """What became of an intent: done, not, or doubtful. Sent again until it is noted."""
+class DeliveryOutcome(Message, tag="Verdict"):
+    """What became of an intent: done, not, or doubtful. Sent again until it is acknowledged."""
 
-    life: int
+    incarnation: int
     number: int
     database: str
     text: str
@@ -179,18 +179,18 @@
     kind: str
 
 
-class Noted(Message):
-    """The feed has the item, or nobody listens: the verdict need not be said again."""
+class OutcomeAcknowledged(Message, tag="Noted"):
+    """The feed has the item, or there is no subscriber: the outcome need not be sent again."""
 
-    life: int
+    incarnation: int
     number: int
     database: str
 
 
-class Spare(Message):
-    """A registrar gives another a copy of an intent, or of its verdict, to hold."""
+class IntentReplica(Message, tag="Spare"):
+    """A controller gives another a replica of an intent, or of its outcome."""
 
-    life: int
+    incarnation: int
     number: int
     database: str
     text: str
@@ -198,88 +198,89 @@
     kind: str = ""
 
 
-class SpareHeld(Message):
-    """The copy is on disk."""
+class ReplicaStored(Message, tag="SpareHeld"):
+    """The replica is on disk."""
 
-    life: int
+    incarnation: int
     number: int
     database: str
 
 
 KINDS = (
     Hello,
-    MemberBeat,
-    RegistrarBeat,
+    PoolerHeartbeat,
+    ControllerHeartbeat,
     Follow,
-    News,
-    PeerBeat,
+    Update,
+    PeerHeartbeat,
     Prepare,
     Promise,
     Accept,
     Accepted,
-    Refused,
-    Query,
-    Copy,
-    Decided,
-    Fetch,
-    Settled,
-    Reconfigured,
-    Tell,
-    Told,
-    Inquire,
-    Part,
-    Level,
-    Pending,
-    Intent,
-    Held,
-    Verdict,
-    Noted,
-    Spare,
-    SpareHeld,
+    Rejected,
+    ReadRequest,
+    ReadReply,
+    Committed,
+    FetchCommitted,
+    CommittedValue,
+    QuorumChanged,
+    StateRequest,
+    StateTransfer,
+    TablesRequest,
+    TablesReply,
+    SetLogLevel,
+    PrimaryPending,
+    DeliveryIntent,
+    IntentStored,
+    DeliveryOutcome,
+    OutcomeAcknowledged,
+    IntentReplica,
+    ReplicaStored,
 )
 ENCODER = msgspec.msgpack.Encoder()
-DECODER = msgspec.msgpack.Decoder(Union[KINDS])
-MOST_FRAME = 16 << 20
+DECODER: Any = msgspec.msgpack.Decoder(Union[KINDS])  # noqa: UP007 - a union made of a tuple
 
 
-def frame(message) -> bytes:
-    """A message with its length before it.
+def encode_frame(message: Message) -> bytes:
+    r"""A message with its length before it.
 
-    >>> frame(Fetch("k"))[:4]
-    b'\\x00\\x00\\x00\\t'
+    >>> encode_frame(FetchCommitted("k"))[:4]
+    b'\x00\x00\x00\t'
     """
     body = ENCODER.encode(message)
-    return len(body).to_bytes(4, "big") + body
+    return len(body).to_bytes(LENGTH_BYTES, "big") + body
 
 
-class Unframer:
-    """Cuts bytes into messages; garbage raises ValueError.
+class FrameDecoder:
+    r"""Splits a stream of bytes into messages.
 
-    >>> unframer = Unframer(); unframer.feed(frame(Fetch("k")) + b"\\0")
-    [Fetch(key='k')]
+    >>> decoder = FrameDecoder(); decoder.feed(encode_frame(FetchCommitted("k")) + b"\0")
+    [FetchCommitted(key='k')]
     """
 
-    def __init__(self):
-        self.rest = b""
+    def __init__(self) -> None:
+        self._buffer = b""
 
-    def feed(self, data: bytes) -> list:
-        """Takes bytes, gives whole messages.
+    def feed(self, data: bytes) -> list[Any]:
+        """Takes bytes, returns the messages that are complete.
 
-        >>> Unframer().feed(frame(Fetch("blueprint")))
-        [Fetch(key='blueprint')]
+        Raises:
+            ValueError: a frame is too large, or unreadable.
         """
-        data = self.rest + data
-        messages, at = [], 0
-        while len(data) - at >= 4:
-            size = int.from_bytes(data[at : at + 4], "big")
-            if size > MOST_FRAME:
+        data = self._buffer + data
+        messages: list[Any] = []
+        offset = 0
+        while len(data) - offset >= LENGTH_BYTES:
+            start = offset + LENGTH_BYTES
+            size = int.from_bytes(data[offset:start], "big")
+            if size > MAX_FRAME_BYTES:
                 raise ValueError("a frame is too large")
-            if len(data) - at - 4 < size:
+            if len(data) - start < size:
                 break
             try:
-                messages.append(DECODER.decode(data[at + 4 : at + 4 + size]))
+                messages.append(DECODER.decode(data[start : start + size]))
             except msgspec.MsgspecError as error:
                 raise ValueError(f"a frame can't be read: {error}") from error
-            at += 4 + size
-        self.rest = data[at:]
+            offset = start + size
+        self._buffer = data[offset:]
         return messages
--- a/sumacloom/transport/update_cache.py
+++ b/sumacloom/transport/update_cache.py
@@ -1,241 +1,250 @@
-"""The news a daemon holds and passes on; none of it ever moves back within a process life."""
+"""The updates that a daemon holds and passes on; none of them moves back within a process's life."""
 
 import zlib
+from typing import Any
 
-from sumacloom.configuration.differences import MARK, differ, patch
+from sumacloom.configuration.differences import difference, is_difference, patch
 from sumacloom.configuration.model import (
-    PACK_FROM,
-    Blueprint,
-    decode_blueprint,
-    pack_blueprint,
-    unpack_blueprint,
+    COMPRESS_FROM,
+    Configuration,
+    compress,
+    decode_configuration,
+    decompress,
 )
-from sumacloom.transport.messages import News
+from sumacloom.transport.messages import Update
 from sumacloom.transport.updates import (
-    AccessNews,
-    Digest,
-    LaneNews,
-    ListenNews,
-    PoolNews,
-    PoolRow,
-    Record,
+    AccessUpdate,
+    BackendRecord,
+    PoolModeRow,
+    PoolModeUpdate,
+    PriorityUpdate,
+    SubscriberUpdate,
+    UpdateDigest,
     digest_records,
 )
 
-MOST_PAST = 4
-GENERATIONS = ("blueprint", "evacuations", "lanes", "listeners", "access", "pooling")
+MAX_EARLIER = 4  # bodies of earlier configurations, from which differences are made
+VERSIONED_FIELDS = (
+    "configuration",
+    "zone_drains",
+    "priority",
+    "subscribers",
+    "access",
+    "pool_modes",
+)
+
 
+def _checksum(data: bytes) -> str:
+    return f"{zlib.crc32(data):08x}"
 
-def body_digest(packed: bytes) -> str:
-    """A short digest of a blueprint's own bytes, by which nodes are compared.
 
-    >>> body_digest(b"{}")
+def body_checksum(compressed: bytes) -> str:
+    """A checksum of a configuration's own bytes, by which nodes are compared.
+
+    >>> body_checksum(b"{}")
     'a3a6bf43'
     """
-    return f"{zlib.crc32(unpack_blueprint(packed)):08x}" if packed else ""
+    return _checksum(decompress(compressed)) if compressed else ""
 
 
-def list_digest(listeners: ListenNews) -> str:
-    """A short digest of a subscriber list, by which nodes are compared.
+def subscribers_checksum(subscribers: SubscriberUpdate) -> str:
+    """A checksum of a list of subscribers, by which nodes are compared.
 
-    >>> list_digest(ListenNews(1, [("desk", "books", "listening")]))
+    >>> subscribers_checksum(SubscriberUpdate(1, [("desk", "books", "listening")]))
     'dc1e5497'
     """
-    return f"{zlib.crc32(repr(sorted(map(tuple, listeners.rows))).encode()):08x}"
-
+    return _checksum(repr(sorted(map(tuple, subscribers.rows))).encode())
 
-def pool_digest(rows: dict[str, PoolRow]) -> str:
-    """A short digest of the modes, by which nodes are compared.
 
-    >>> pool_digest({}) == pool_digest({})
-    True
-    """
+def pool_modes_checksum(rows: dict[str, PoolModeRow]) -> str:
+    """A checksum of the pool modes, by which nodes are compared."""
     text = repr(
         [
             (row.database, row.mode, row.pinned, row.exceptions)
             for _name, row in sorted(rows.items())
         ]
     )
-    return f"{zlib.crc32(text.encode()):08x}"
+    return _checksum(text.encode())
 
 
-class Board:
-    """Blueprint, evacuations and backend records, with their generations.
+class UpdateCache:
+    """Configuration, zone drains, backend records and policies, with their versions.
 
-    >>> board = Board(); board.take(News(b'{"ver": 3}', 1, ["z"], []))
+    >>> cache = UpdateCache(); cache.apply(Update(b'{"ver": 3}', 1, ["z"], []))
     True
-    >>> board.digest()
-    Digest(blueprint=3, evacuations=1, records=0, lanes=0, listeners=0, access=0, pooling=0)
+    >>> cache.digest().configuration, cache.digest().zone_drains
+    (3, 1)
     """
 
-    def __init__(self):
-        self.blueprint: Blueprint | None = None
-        self.packed = b""
-        self.past: list[tuple[int, bytes]] = []  # (ver, packed body) of late, the newest first
-        self.differences: dict[int, bytes] = {}  # what leads from one of those to the present body
-        self.evacuations = 0
+    def __init__(self) -> None:
+        self.configuration: Configuration | None = None
+        self.compressed = b""
+        self._earlier: list[tuple[int, bytes]] = []  # (ver, compressed body), the newest first
+        self._bodies: dict[int, bytes] = {}  # what leads from a version to the present body
+        self.zone_drains = 0
         self.zones: list[str] = []
-        self.records: dict[str, Record] = {}
-        self.known_digest = 0
-        self.lanes = LaneNews(0, [], [])
-        self.listeners = ListenNews(0, [])
-        self.access = AccessNews(0, 0, b"")
-        self.pooling, self.pool_rows = 0, {}
-
-    def digest(self) -> Digest:
-        """What this board holds.
-
-        >>> Board().digest()
-        Digest(blueprint=0, evacuations=0, records=0, lanes=0, listeners=0, access=0, pooling=0)
-        """
-        return Digest(
-            self.blueprint.ver if self.blueprint else 0,
-            self.evacuations,
-            self.known_digest,
-            self.lanes.order,
-            self.listeners.generation,
+        self.records: dict[str, BackendRecord] = {}
+        self.records_digest = 0
+        self.priority = PriorityUpdate(0, [], [])
+        self.subscribers = SubscriberUpdate(0, [])
+        self.access = AccessUpdate(0, 0, b"")
+        self.pool_modes_version = 0
+        self.pool_modes: dict[str, PoolModeRow] = {}
+
+    def digest(self) -> UpdateDigest:
+        """Which updates this cache holds."""
+        return UpdateDigest(
+            self.configuration.ver if self.configuration else 0,
+            self.zone_drains,
+            self.records_digest,
+            self.priority.order,
+            self.subscribers.version,
             self.access.order,
-            self.pooling,
+            self.pool_modes_version,
         )
 
-    def holds(self, digest: Digest) -> bool:
-        """Whether no generation of another's is above ours; records have none.
+    def databases(self) -> set[str]:
+        """The databases of the configuration in force."""
+        return self.configuration.databases() if self.configuration else set()
 
-        >>> Board().holds(Digest()), Board().holds(Digest(blueprint=3))
+    def covers(self, digest: UpdateDigest) -> bool:
+        """Whether no version of another's is above ours; records have none.
+
+        >>> UpdateCache().covers(UpdateDigest()), UpdateCache().covers(UpdateDigest(configuration=3))
         (True, False)
         """
-        ours = self.digest()
-        return all(getattr(ours, name) >= getattr(digest, name) for name in GENERATIONS)
+        own = self.digest()
+        return all(getattr(own, name) >= getattr(digest, name) for name in VERSIONED_FIELDS)
 
-    def take(self, news: News) -> bool:
-        """Takes what is newer; tells whether anything was.
+    def apply(self, update: Update) -> bool:
+        """Takes what is newer; returns whether anything was.
 
-        >>> board = Board(); board.take(News(None, 2, ["z"], None)), board.take(News(None, 1, [], None))
+        >>> cache = UpdateCache()
+        >>> cache.apply(Update(None, 2, ["z"], None)), cache.apply(Update(None, 1, [], None))
         (True, False)
         """
         changed = False
-        if news.blueprint is not None:
-            changed = self.take_blueprint(news.blueprint)
-        if news.zones is not None and news.evacuations > self.evacuations:
-            self.evacuations, self.zones, changed = news.evacuations, news.zones, True
-        if news.lanes is not None and news.lanes.order > self.lanes.order:
-            self.lanes, changed = news.lanes, True
-        if news.listeners is not None and news.listeners.generation > self.listeners.generation:
-            self.listeners, changed = news.listeners, True
-        if news.access is not None and news.access.order > self.access.order:
-            self.access, changed = news.access, True
-        if news.pooling is not None and self.take_pooling(news.pooling):
-            changed = True
-        newer = [record for record in news.records or () if self.newer(record)]
-        if newer:
-            self.records.update((record.name, record) for record in newer)
-            self.known_digest = digest_records(self.records.values())
+        if update.configuration is not None:
+            changed = self.apply_configuration(update.configuration)
+        if update.zones is not None and update.zone_drains > self.zone_drains:
+            self.zone_drains, self.zones, changed = update.zone_drains, update.zones, True
+        if update.priority is not None and update.priority.order > self.priority.order:
+            self.priority, changed = update.priority, True
+        subscribers = update.subscribers
+        if subscribers is not None and subscribers.version > self.subscribers.version:
+            self.subscribers, changed = subscribers, True
+        if update.access is not None and update.access.order > self.access.order:
+            self.access, changed = update.access, True
+        if update.pool_modes is not None and self.apply_pool_modes(update.pool_modes):
             changed = True
-        return changed
+        return self._apply_records(update.records or []) or changed
+
+    def _apply_records(self, records: list[BackendRecord]) -> bool:
+        newer = [record for record in records if self.is_newer(record)]
+        if not newer:
+            return False
+        self.records.update((record.name, record) for record in newer)
+        self.refresh_records_digest()
+        return True
 
-    def take_blueprint(self, told: bytes) -> bool:
-        """Takes a body, packed or as it differs from ours; an older one, or a difference of another, changes nothing.
+    def apply_configuration(self, body: bytes) -> bool:
+        """Takes a body, compressed or as a difference from ours; returns False for one of no use.
 
-        >>> board = Board(); board.take_blueprint(b'{"ver": 3}'), board.take_blueprint(differ(b"x", b'{"ver": 4}'))
-        (True, False)
+        >>> cache = UpdateCache(); cache.apply_configuration(b'{"ver": 3}')
+        True
+        >>> cache.apply_configuration(difference(b"x", b'{"ver": 4}'))
+        False
         """
-        if told.startswith(MARK):
+        if is_difference(body):
             try:
-                told = pack_blueprint(patch(unpack_blueprint(self.packed), told))
+                body = compress(patch(decompress(self.compressed), body))
             except ValueError:
                 return False
-        blueprint = decode_blueprint(told)
-        if self.blueprint and blueprint.ver <= self.blueprint.ver:
-            return False
-        if self.blueprint:
-            self.past = [(self.blueprint.ver, self.packed), *self.past][:MOST_PAST]
-        self.blueprint, self.packed, self.differences = blueprint, told, {}
+        configuration = decode_configuration(body)
+        if self.configuration:
+            if configuration.ver <= self.configuration.ver:
+                return False
+            earlier = [(self.configuration.ver, self.compressed), *self._earlier]
+            self._earlier = earlier[:MAX_EARLIER]
+        self.configuration, self.compressed = configuration, body
+        self._bodies = {}
         return True
 
     def body_for(self, ver: int) -> bytes:
-        """Our body for one that holds a generation: as it differs from that, where we know it and that is shorter.
+        """Our body for one that holds a version: as a difference where that is known and shorter.
 
-        >>> board = Board(); _took = board.take_blueprint(b'{"ver": 3}'); board.body_for(0)
+        >>> cache = UpdateCache(); _changed = cache.apply_configuration(b'{"ver": 3}'); cache.body_for(0)
         b'{"ver": 3}'
         """
-        if ver not in self.differences:
-            old = next((packed for kept, packed in self.past if kept == ver), None)
-            shorter = old is not None and len(self.packed) >= PACK_FROM
-            self.differences[ver] = (
-                differ(unpack_blueprint(old), unpack_blueprint(self.packed))
-                if shorter
-                else self.packed
-            )
-        return min(self.differences[ver], self.packed, key=len)
-
-    def take_pooling(self, news: PoolNews) -> bool:
-        """Takes judgements of pool modes that follow on ours; others are asked for again by the digest.
-
-        >>> board = Board(); board.take_pooling(PoolNews(4, 3, [])), board.take_pooling(PoolNews(4, 0, []))
+        if ver not in self._bodies:
+            old = next((body for earlier, body in self._earlier if earlier == ver), None)
+            if old is not None and len(self.compressed) >= COMPRESS_FROM:
+                body = difference(decompress(old), decompress(self.compressed))
+            else:
+                body = self.compressed
+            self._bodies[ver] = body
+        return min(self._bodies[ver], self.compressed, key=len)
+
+    def apply_pool_modes(self, update: PoolModeUpdate) -> bool:
+        """Takes pool modes that follow on ours; others are asked for again by the digest.
+
+        >>> cache = UpdateCache()
+        >>> cache.apply_pool_modes(PoolModeUpdate(4, 3, [])), cache.apply_pool_modes(PoolModeUpdate(4, 0, []))
         (False, True)
         """
-        if news.generation <= self.pooling or news.base > self.pooling:
+        if update.version <= self.pool_modes_version or update.base > self.pool_modes_version:
             return False
-        self.pool_rows.update((row.database, row) for row in news.rows if row.since > self.pooling)
-        self.pooling = news.generation
+        for row in update.rows:
+            if row.since > self.pool_modes_version:
+                self.pool_modes[row.database] = row
+        self.pool_modes_version = update.version
         return True
 
-    def pool_news(self, generation: int) -> PoolNews:
-        """What changed in the pool modes after a generation.
+    def pool_modes_since(self, version: int) -> PoolModeUpdate:
+        """What changed in the pool modes after a version."""
+        rows = [row for row in self.pool_modes.values() if row.since > version]
+        return PoolModeUpdate(self.pool_modes_version, version, rows)
 
-        >>> Board().pool_news(0)
-        PoolNews(generation=0, base=0, rows=[])
-        """
-        return PoolNews(
-            self.pooling,
-            generation,
-            [row for row in self.pool_rows.values() if row.since > generation],
-        )
-
-    def newer(self, record: Record) -> bool:
-        """Whether a record is newer than the one held.
+    def is_newer(self, record: BackendRecord) -> bool:
+        """Whether a record is newer than the one held."""
+        known = self.records.get(record.name)
+        return known is None or record.order > known.order
 
-        >>> Board().newer(Record("i", "s", "a", "z"))
-        True
-        """
-        held = self.records.get(record.name)
-        return held is None or record.order > held.order
-
-    def forget(self, names) -> None:
-        """Drops records whose time is up.
-
-        >>> Board().forget(["i"])
-        """
+    def forget_records(self, names: list[str]) -> None:
+        """Drops records whose time is up."""
         for name in names:
             self.records.pop(name, None)
-        self.known_digest = digest_records(self.records.values())
+        self.refresh_records_digest()
 
-    def news_for(self, held: Digest) -> News | None:
-        """What a daemon with that digest lacks; None if nothing.
+    def refresh_records_digest(self) -> None:
+        """Brings the digest up to date after a change of `records`."""
+        self.records_digest = digest_records(self.records.values())
 
-        >>> Board().news_for(Digest()) is None
-        True
-        """
-        mine = self.digest()
-        if held == mine:
+    def update_for(self, other: UpdateDigest) -> Update | None:
+        """What a daemon with that digest lacks; None if nothing."""
+        own = self.digest()
+        if other == own:
             return None
-        news = News(
-            self.body_for(held.blueprint) if mine.blueprint > held.blueprint else None,
-            mine.evacuations,
-            self.zones if mine.evacuations > held.evacuations else None,
-            list(self.records.values()) if mine.records != held.records else None,
-            self.lanes if mine.lanes > held.lanes else None,
-            self.listeners if mine.listeners > held.listeners else None,
-            self.access if mine.access > held.access else None,
-            self.pool_news(held.pooling) if mine.pooling > held.pooling else None,
+        newer: dict[str, Any] = {
+            name: getattr(own, name) > getattr(other, name) for name in VERSIONED_FIELDS
+        }
+        update = Update(
+            self.body_for(other.configuration) if newer["configuration"] else None,
+            own.zone_drains,
+            self.zones if newer["zone_drains"] else None,
+            list(self.records.values()) if own.records != other.records else None,
+            self.priority if newer["priority"] else None,
+            self.subscribers if newer["subscribers"] else None,
+            self.access if newer["access"] else None,
+            self.pool_modes_since(other.pool_modes) if newer["pool_modes"] else None,
         )
-        told = (
-            news.blueprint
-            or news.zones is not None
-            or news.records
-            or news.lanes
-            or news.listeners
-            or news.access
-            or news.pooling
+        has_content = (
+            update.configuration
+            or update.zones is not None
+            or update.records
+            or update.priority
+            or update.subscribers
+            or update.access
+            or update.pool_modes
         )
-        return news if told else None
+        return update if has_content else None
--- a/sumacloom/transport/updates.py
+++ b/sumacloom/transport/updates.py
@@ -1,60 +1,66 @@
-"""The news that daemons hold, as msgspec structures."""
+"""The pieces of state that updates carry from the controllers to every pooler.
+
+The order of fields is part of the wire and of stored data: fields may be renamed, not moved.
+"""
 
 import zlib
+from collections.abc import Iterable
 
 import msgspec
 
+PHASE_UP, PHASE_DRAINING, PHASE_GONE = "up", "draining", "gone"
+ROLE_PRIMARY, ROLE_REPLICA = "primary", "replica"
 
-class Record(msgspec.Struct, array_like=True, frozen=True):
-    """What is known of one backend; (life, seq) orders what is known.
 
-    >>> Record("i-1", "svc", "10.0.0.9:80", "z").phase
-    'up'
-    """
+class BackendRecord(msgspec.Struct, array_like=True, frozen=True):
+    """What is known of one backend; (incarnation, seq) orders what is known."""
 
     name: str
     service: str
     address: str
     zone: str
     slots: int = 1
-    phase: str = "up"  # up draining gone
-    role: str = "replica"
-    cold_ms: float = 0
-    life: int = 0
+    phase: str = PHASE_UP
+    role: str = ROLE_REPLICA
+    cold_ms: float = 0  # how much longer it is slow from its start
+    incarnation: int = 0
     seq: int = 0
 
     @property
-    def order(self) -> tuple:
+    def order(self) -> tuple[int, int]:
         """What makes one record newer than another.
 
-        >>> Record("i", "s", "a", "z", life=1).order > Record("i", "s", "a", "z", seq=9).order
+        >>> old = BackendRecord("i", "s", "a", "z", seq=9)
+        >>> BackendRecord("i", "s", "a", "z", incarnation=1).order > old.order
         True
         """
-        return (self.life, self.seq)
+        return (self.incarnation, self.seq)
+
+    @property
+    def is_gone(self) -> bool:
+        """Whether the backend has left, and only its tombstone is kept."""
+        return self.phase == PHASE_GONE
 
+    @property
+    def is_primary(self) -> bool:
+        """Whether the backend sees itself as the primary of its service."""
+        return self.role == ROLE_PRIMARY
 
-class Digest(msgspec.Struct, array_like=True, frozen=True):
-    """What news a daemon holds.
 
-    >>> Digest(3, 1, 77) == Digest(3, 1, 77)
-    True
-    """
+class UpdateDigest(msgspec.Struct, array_like=True, frozen=True):
+    """Which updates a daemon holds: a version each, and a checksum of the backend records."""
 
-    blueprint: int = 0
-    evacuations: int = 0
+    configuration: int = 0
+    zone_drains: int = 0
     records: int = 0
-    lanes: int = 0
-    listeners: int = 0
+    priority: int = 0
+    subscribers: int = 0
     access: int = 0
-    pooling: int = 0
+    pool_modes: int = 0
 
 
-class Sighting(msgspec.Struct, array_like=True, frozen=True):
-    """A replica's position as some counter saw it, and how long ago in ms.
-
-    >>> Sighting("i-1", 3, 1207, 40).number
-    1207
-    """
+class PositionObservation(msgspec.Struct, array_like=True, frozen=True):
+    """A replica's log position as some pooler read it, and how long ago in ms."""
 
     backend: str
     term: int
@@ -62,55 +68,57 @@
     age_ms: int
 
 
-class LaneNews(msgspec.Struct, array_like=True, frozen=True):
-    """The priority lanes: which are in force, and which are offered or in force next."""
+class PriorityUpdate(msgspec.Struct, array_like=True, frozen=True):
+    """The priority databases: those in force, and those offered or in force next."""
 
-    order: int  # twice the generation, and one more once in force
+    order: int  # twice the version, and one more once in force
     databases: list[str]
     offered: list[str]
 
 
-class AccessNews(msgspec.Struct, array_like=True, frozen=True):
-    """The access list: which is in force, and which is offered or in force next."""
+class AccessUpdate(msgspec.Struct, array_like=True, frozen=True):
+    """The access list: the one in force, and the one offered or in force next; both compressed."""
 
-    order: int  # twice the generation, and one more once in force
-    generation: int  # of the list in force; 0: none ever was
-    body: bytes  # the list in force, packed
-    offered: bytes = b""  # what comes into force next, packed
+    order: int  # twice the version, and one more once in force
+    version: int  # of the list in force; 0: none ever was
+    body: bytes
+    offered: bytes = b""
 
 
-class PoolRow(msgspec.Struct, array_like=True, frozen=True):
-    """How the sessions of one database may share connections."""
+class PoolModeRow(msgspec.Struct, array_like=True, frozen=True):
+    """How the sessions of one database may share server connections."""
 
     database: str
-    mode: str  # statement transaction
-    pinned: bool = False  # set by an operator: not judged
-    exceptions: list[str] = []  # who is in transaction mode all the same
-    since: int = 0  # the generation in which this row last changed
+    mode: str  # statement or transaction
+    pinned: bool = False  # set by an operator: not judged from behaviour
+    exceptions: list[str] = []  # users in transaction mode all the same
+    since: int = 0  # the version in which this row last changed
     strikes: int = 0  # how often a judgement was taken back
 
 
-class PoolNews(msgspec.Struct, array_like=True, frozen=True):
-    """What was judged of late: the rows that the receiver lacks."""
+class PoolModeUpdate(msgspec.Struct, array_like=True, frozen=True):
+    """The rows of pool modes that the receiver lacks."""
 
-    generation: int
-    base: int  # the rows are all that changed after this generation
-    rows: list[PoolRow]
+    version: int
+    base: int  # the rows are all that changed after this version
+    rows: list[PoolModeRow]
 
 
-class ListenNews(msgspec.Struct, array_like=True, frozen=True):
-    """Who listens: the whole list, with its generation."""
+class SubscriberUpdate(msgspec.Struct, array_like=True, frozen=True):
+    """The whole list of subscribers: (name, database, state)."""
 
-    generation: int
-    rows: list[tuple[str, str, str]]  # name, database, state
+    version: int
+    rows: list[tuple[str, str, str]]
 
 
-def digest_records(records) -> int:
-    """A short digest of the backends that are there; those gone don't count.
+def digest_records(records: Iterable[BackendRecord]) -> int:
+    """A checksum of the backends that are there; those gone don't count.
 
     >>> digest_records([])
     0
     """
-    live = (record for record in records if record.phase != "gone")
-    text = "|".join(sorted(f"{record.name}:{record.life}:{record.seq}" for record in live))
+    present = (record for record in records if not record.is_gone)
+    text = "|".join(
+        sorted(f"{record.name}:{record.incarnation}:{record.seq}" for record in present)
+    )
     return zlib.crc32(text.encode())
--- a/sumacloom/wal/__init__.py
+++ b/sumacloom/wal/__init__.py
@@ -1,1 +1,1 @@
-"""The log on disk: segments with snapshots beside them."""
+"""The write-ahead log on disk: segments, with a snapshot that takes the place of older ones."""
--- a/tests/calls_world.py
+++ b/tests/calls_world.py
@@ -57,20 +57,20 @@
 
     # -------------------------------------------------------- effects
     def act(self):
-        while self.floor.effects:
-            effects, self.floor.effects = self.floor.effects, []
+        while self.core.effects:
+            effects, self.core.effects = self.core.effects, []
             for kind, *rest in effects:
                 key = rest.pop(0) if rest else None
                 if kind == "dial":
                     self.dialled.append(key)
-                    wire = self.floor.wires[key]
-                    self.conns[key] = Conn(key, self.hosts[wire.backend])
-                    self.conns[key].inbox.append(wire.login("edge-1").decode().strip())
+                    connection = self.core.connections[key]
+                    self.conns[key] = Conn(key, self.hosts[connection.backend])
+                    self.conns[key].inbox.append(connection.login("edge-1").decode().strip())
                 elif kind == "send" and key in self.conns:
                     assert not self.conns[key].closed, "bytes on a wire that was shut"
                     self.conns[key].inbox.extend(rest[0].decode().split("\r\n")[:-1])
                 elif kind == "send" and key in self.clients:
-                    self.clients[key].hear(rest[0].decode().split("\r\n")[:-1])
+                    self.clients[key].receive(rest[0].decode().split("\r\n")[:-1])
                 elif kind == "shut" and key in self.conns:
                     self.conns[key].closed = True
                 elif kind == "shut":
@@ -175,7 +175,7 @@
             (conn.buffer, b"") if most is None else (conn.buffer[:most], conn.buffer[most:])
         )
         if data and not conn.closed:
-            server_results.wire_data(self.floor, conn.key, data, self.now)
+            server_results.receive_data(self.core, conn.key, data, self.now)
             self.act()
 
     def deliver_all(self):
@@ -186,9 +186,9 @@
         conn.inbox.clear()
         conn.end(True)
         self.conns.pop(conn.key, None)
-        wire = self.floor.wires.get(conn.key)
-        if wire and not conn.closed:
-            connection_loss.wire_lost(self.floor, wire, "reset", self.now)
+        connection = self.core.connections.get(conn.key)
+        if connection and not conn.closed:
+            connection_loss.connection_lost(self.core, connection, "reset", self.now)
             self.act()
 
 
@@ -200,8 +200,8 @@
         self.values, self.names, self.asked, self.rows = {}, {}, deque(), []
         self.one, self.state, self.in_session = None, "", False
         world.clients[key] = self
-        world.floor.session_opened(key, world.now)
-        world.floor.session_data(key, f"LOGIN {database} me\r\n".encode(), world.now)
+        world.core.session_opened(key, world.now)
+        world.core.session_data(key, f"LOGIN {database} me\r\n".encode(), world.now)
         world.act()
 
     def say(self, *texts):
@@ -220,19 +220,19 @@
             self.world.tries[ident] = (self, self.one)
             self.asked.append((ident, text, self.one))
             lines += f"QUERY {ident} {text}\r\n"
-        self.world.floor.session_data(self.key, lines.encode(), self.world.now)
+        self.world.core.session_data(self.key, lines.encode(), self.world.now)
         self.world.act()
 
-    def hear(self, lines):
+    def receive(self, lines):
         for line in lines:
             word, _blank, rest = line.partition(" ")
             if word == "READY":
                 self.state = rest[0]
-                self.answered()
+                self.answered_at()
             else:
                 self.rows.append(line)
 
-    def answered(self):
+    def answered_at(self):
         lines, self.rows = self.rows, []
         if not self.in_session:
             self.in_session = not lines
--- a/tests/crashes.py
+++ b/tests/crashes.py
@@ -143,7 +143,7 @@
         """Every content that may be found after a loss of power now: {name: bytes}."""
         for kept in itertools.product((True, False), repeat=len(self.name_changes)):
             names = dict(self.lasting)
-            for (kind, name, *rest), stays in zip(self.name_changes, kept):
+            for (kind, name, *rest), stays in zip(self.name_changes, kept, strict=True):
                 if not stays:
                     continue
                 if kind == "create":
@@ -154,7 +154,7 @@
                     names[rest[0]] = names.pop(name)
             choices = [list(self.contents(node)) for node in names.values()]
             for contents in itertools.product(*choices):
-                yield dict(zip(names, contents))
+                yield dict(zip(names, contents, strict=True))
 
     @staticmethod
     def contents(node):
--- a/tests/dutyland.py
+++ b/tests/dutyland.py
@@ -1,23 +1,28 @@
-"""Registrars that hold the failover duty in virtual time: real offices, real plans and errands; backends and platform stand in.
+"""Controllers that hold the failover lease in virtual time: real cores, plans and executors; backends and platform stand in.
 
 Tasks are the real coroutines, run by a small scheduler in place of curio. A process may be frozen, and thawed with
 all that it was sent meanwhile; what runs first after that, its clock, its tasks or its post, is drawn by the seed.
 """
 
-from collections import deque
 from types import SimpleNamespace
 from typing import NamedTuple
 
 import pytest
 
-from sumacloom.configuration.model import Blueprint, Service
-from sumacloom.controller.failover import executor, lease, lease_confirmation, supervisor
-from sumacloom.controller.failover.plans import Ask, read_row
-from sumacloom.controller.registers.values import DutyValue, decode
-from sumacloom.transport.messages import Unframer, frame
-from sumacloom.transport.updates import Record
-
-from .test_voters import Land
+from sumacloom.configuration.model import Configuration, Service
+from sumacloom.consensus.codec import decode
+from sumacloom.controller.failover import executor, lease_confirmation, supervisor
+from sumacloom.controller.failover.executor import QUERY_TIMEOUT_S, CommandExecutor
+from sumacloom.controller.failover.plans import BackendQuery, parse_status
+from sumacloom.controller.failover.supervisor import FailoverSupervisor
+from sumacloom.controller.registers import FAILOVER_LEASE_KEY
+from sumacloom.controller.registers.lease import LeaseValue
+from sumacloom.controller.stall_detector import StallDetector
+from sumacloom.http import Response
+from sumacloom.transport.messages import FrameDecoder, encode_frame
+from sumacloom.transport.updates import BackendRecord
+
+from .test_voters import ControllerCluster
 
 STEP_S = 0.02
 SERVICES = {"s": 0, "t": 1}  # service: syncAcks
@@ -55,14 +60,21 @@
         self.coroutine.close()
 
 
+class SimulatedExecutor(CommandExecutor):
+    """The real one, but for what leaves for backends."""
+
+    async def query_backend(self, command, _held_lease=None, timeout_s=QUERY_TIMEOUT_S):
+        return await self._process.world.ask(self._process, command, timeout_s)
+
+
 class Process:
-    """One life of a registrar: what plans and errands use of a shell."""
+    """One life of a controller: what the executor and the supervisor use of a process."""
 
-    def __init__(self, world, ip, office):
-        self.world, self.ip, self.office, self.settings = world, ip, office, office.settings
-        self.plans, self.probing, self.misses, self.nobody_since = {}, set(), {}, {}
-        self.doubts, self.duty_known, self.platform_calls = {}, None, deque()
-        self.ticked_at, self.stood_still_at = world.now, -1e9
+    def __init__(self, world, ip, core):
+        self.world, self.ip, self.core, self.settings = world, ip, core, core.settings
+        self.stalls = StallDetector(world.now)
+        self.executor = SimulatedExecutor(self)
+        self.supervisor = FailoverSupervisor(self, self.executor)
         self.tasks = []
 
     def now(self):
@@ -71,18 +83,18 @@
     def announce(self, message):
         """Word to counters, of which there are none."""
 
-    async def act(self):
+    async def flush(self):
         """What is put out leaves with the next step."""
 
-    async def decide(self, key, change, reading=False):
-        proposal = self.office.propose(key, change, self.now(), reading)
+    async def commit(self, key, change, reading=False):
+        proposal = self.core.propose(key, change, self.now(), reading)
         await Trap(lambda: proposal.outcome is not None)
-        return proposal.outcome
+        return proposal.outcome.value()
 
     def clock(self):
-        executor.note_tick(self, self.now())
-        self.office.tick(self.now())
-        Task(supervisor.mind_backends(self, self.now())).run()
+        self.stalls.tick(self.now())
+        self.core.tick(self.now())
+        Task(self.supervisor.on_timer(self.now())).run()
 
     def end(self):
         for task in self.tasks:
@@ -99,20 +111,20 @@
 
     ip: str
     holder: str
-    fence: int
+    fencing_token: int
     service: str
     backend: str
     sent_at: float
     answer: list
 
 
-class DutyLand(Land):
+class LeaseCluster(ControllerCluster):
     """The world, and what must hold in it."""
 
     def __init__(self, seed, fencing, lease_ms=0):
         self.fencing, self.lease_ms = fencing, lease_ms
         self.processes, self.frozen, self.backlog = {}, set(), {}
-        self.fences, self.newest_duty = (
+        self.fencing_tokens, self.newest_duty = (
             {},
             (0, None, -1e9),
         )  # fence: (holder, nonce); (fence, holder, since)
@@ -132,46 +144,48 @@
     # ------------------------------------------------------------ processes
     def start(self, ip, bootstrap=False):
         super().start(ip, bootstrap)
-        one = self.offices[ip]
+        one = self.cores[ip]
         one.settings.bounds.fencing, one.settings.bounds.lease_ms = self.fencing, self.lease_ms
         one.settings.cloud.addr = "10.9.9.9:80"
-        one.roster.sweep, one.roster.suspects = lambda now: [], lambda beat_s, now: []
-        one.roster.dark_since = lambda name, voters, now: self.dark.get(name)
-        one.board.blueprint = Blueprint(
+        one.registry.sweep, one.registry.suspects = lambda now: [], lambda beat_s, now: []
+        one.registry.unreachable_since = lambda name, voters, now: self.dark.get(name)
+        one.cache.configuration = Configuration(
             1, svcs=[Service(name, sync_acks=acks) for name, acks in SERVICES.items()]
         )
-        original = one.settle
+        original = one.commit
 
-        def settle(key, ballot, value, now):
-            if key == lease.DUTY:
-                found = decode(DutyValue, value)
+        def commit(key, proposal_number, value, now):
+            if key == FAILOVER_LEASE_KEY:
+                found = decode(LeaseValue, value)
                 if found.holder:
-                    assert self.fences.setdefault(found.fence, (found.holder, found.nonce)) == (
+                    assert self.fencing_tokens.setdefault(
+                        found.fencing_token, (found.holder, found.nonce)
+                    ) == (
                         found.holder,
                         found.nonce,
                     )
-                if found.fence > self.newest_duty[0]:
+                if found.fencing_token > self.newest_duty[0]:
                     changed = found.holder != self.newest_duty[1]
                     self.newest_duty = (
-                        found.fence,
+                        found.fencing_token,
                         found.holder,
                         self.now if changed else self.newest_duty[2],
                     )
-            return original(key, ballot, value, now)
+            return original(key, proposal_number, value, now)
 
-        one.settle = settle
+        one.commit = commit
         self.processes[ip] = Process(self, ip, one)
         self.show()
 
     def show(self):
         """Every registrar sees the backends as they are."""
         records = {
-            name: Record(name, service, "10.0.1.1:80", "a", role=row[0])
+            name: BackendRecord(name, service, "10.0.1.1:80", "a", role=row[0])
             for service, rows in self.rows.items()
             for name, row in rows.items()
         }
-        for one in self.offices.values():
-            one.board.records = dict(records)
+        for one in self.cores.values():
+            one.cache.records = dict(records)
 
     def kill(self, ip, disk=True):
         super().kill(ip, disk)
@@ -189,7 +203,7 @@
 
         def read():
             for peer, message in post:
-                process.office.hear(peer, Unframer().feed(frame(message))[0], self.now)
+                process.core.receive(peer, FrameDecoder().feed(encode_frame(message))[0], self.now)
 
         steps = [read, process.clock, process.work]
         self.random.shuffle(steps)
@@ -198,18 +212,18 @@
 
     def step(self):
         self.now = round(self.now + STEP_S, 6)
-        for ip in self.random.sample(sorted(self.offices), len(self.offices)):
+        for ip in self.random.sample(sorted(self.cores), len(self.cores)):
             if ip in self.frozen:
                 continue
-            one, process = self.offices[ip], self.processes[ip]
+            one, process = self.cores[ip], self.processes[ip]
             halves = [process.clock, process.work]
             self.random.shuffle(halves)
             for half in halves:
                 half()
             if one.storage.batches:
-                batches = one.storage.take()
+                batches = one.storage.pending_batches()
                 one.storage.sync(batches)
-                one.written(batches, self.now)
+                one.handle_synced(batches, self.now)
             post, one.outbox = one.outbox, []
             self.post += [
                 (self.now + self.random.expovariate(50), ip, peer, message)
@@ -219,29 +233,39 @@
         due = [entry for entry in self.post if entry[0] <= self.now]
         self.post = [entry for entry in self.post if entry[0] > self.now]
         for _at, ip, peer, message in sorted(due, key=lambda entry: entry[0]):
-            if peer not in self.offices or frozenset((ip, peer)) in self.cut:
+            if peer not in self.cores or frozenset((ip, peer)) in self.partitioned:
                 continue
             if peer in self.frozen:
                 self.backlog[peer].append((ip, message))
             else:
-                self.offices[peer].hear(ip, Unframer().feed(frame(message))[0], self.now)
+                self.cores[peer].receive(
+                    ip, FrameDecoder().feed(encode_frame(message))[0], self.now
+                )
 
     # ------------------------------------------------------------ what stands in
     async def spawn(self, function, *values, daemon=False):
         task = Task(function(*values))
-        values[0].tasks.append(task)
+        self.process_of(function, values).tasks.append(task)
         return task
 
+    def process_of(self, function, values):
+        """Whose task it is: a function's first argument, or the owner of the method."""
+        owner = (
+            values[0] if values and isinstance(values[0], Process) else function.__self__._process
+        )
+        assert isinstance(owner, Process)
+        return owner
+
     async def sleep(self, seconds):
         until = self.now + seconds
         await Trap(lambda: self.now >= until)
 
-    async def ask(self, process, command: Ask, holding=None, cutoff_s=0.7):
+    async def ask(self, process, command: BackendQuery, timeout_s):
         """A backend answers within a step, but a dark one, which is silent."""
         service, name = command.backend.service, command.backend.name
         await self.sleep(STEP_S)
         if name in self.dark:
-            await self.sleep(cutoff_s)
+            await self.sleep(timeout_s)
             return None
         row = self.rows[service][name]
         word, _space, term = command.text.partition(" ")
@@ -254,16 +278,16 @@
         elif word == "STEPDOWN" and row[0] == "primary":
             row[0] = "replica"
             self.show()
-        return read_row(f"{row[0]} {row[1]} {row[1]}.9 {row[2]} 0 0 0")
+        return parse_status(f"{row[0]} {row[1]} {row[1]}.9 {row[2]} 0 0 0")
 
     async def dial(self, _host, _port):
         await self.sleep(STEP_S * self.random.choice([1, 2, 10, 25, 38]))
-        return SimpleNamespace(close=self.act)
+        return SimpleNamespace(close=self.close)
 
-    async def act(self):
+    async def close(self):
         """A socket that is closed."""
 
-    async def call(self, dial, address, _method, _path, body, headers, cutoff_s):
+    async def call(self, dial, address, _method, _path, body, headers, timeout_s):
         """The connection, then the call in the same moment, then its answer or the cutoff.
 
         After a freeze the call goes on as if no cutoff had passed: the confirmation alone must hold it back.
@@ -272,11 +296,11 @@
         try:
             await dial(*address)
         except OSError:
-            return 0, {}, b""
+            return Response(0, {}, b"")
         service, backend = body.decode().split('"')[3::4]
         fields = dict(headers)
         holder = next(
-            ip for ip, one in self.offices.items() if one.settings.node == fields["X-Holder"]
+            ip for ip, one in self.cores.items() if one.settings.node == fields["X-Holder"]
         )
         call = Call(
             holder, fields["X-Holder"], int(fields["X-Fence"]), service, backend, self.now, []
@@ -285,16 +309,16 @@
         self.calls.append(call)
         self.unclear[service] = call  # until a clear answer is read
         self.underway.append(call)
-        await Trap(lambda: call.answer or self.now - began_at > cutoff_s)
+        await Trap(lambda: call.answer or self.now - began_at > timeout_s)
         status = call.answer[0] if call.answer else 0
         if 200 <= status < 300 and self.unclear.get(service) is call:
             del self.unclear[service]
-        return status, {}, b""
+        return Response(status, {}, b"")
 
     def check_sent(self, call):
         """What must hold as a call leaves."""
         process = self.processes[call.ip]
-        assert self.fences.get(call.fence) == (call.ip, process.office.nonce), (
+        assert self.fencing_tokens.get(call.fencing_token) == (call.ip, process.core.nonce), (
             "another's fence, or none that was decided"
         )
         _fence, holder, since = self.newest_duty
@@ -303,12 +327,18 @@
         )
         doubted = self.unclear.get(call.service)
         if doubted:
-            assert call.fence > doubted.fence, "repeated with the fence of the unclear call"
+            assert call.fencing_token > doubted.fencing_token, (
+                "repeated with the fence of the unclear call"
+            )
             assert self.asked.get((call.service, call.ip), -1e9) > doubted.sent_at, (
                 "repeated blindly"
             )
         if not self.fencing:
-            others = [old for old in self.calls if old.fence < call.fence and old.ip != call.ip]
+            others = [
+                old
+                for old in self.calls
+                if old.fencing_token < call.fencing_token and old.ip != call.ip
+            ]
             assert all(self.now - old.sent_at >= lease_confirmation.FLIGHT_S for old in others), (
                 "two holders inside the bound"
             )
@@ -323,9 +353,7 @@
     def in_touch(self, old, new):
         """Whether the new holder hears the old one."""
         return (
-            old in self.offices
-            and old not in self.frozen
-            and self.offices[new].alive(old, self.now)
+            old in self.cores and old not in self.frozen and self.cores[new].is_alive(old, self.now)
         )
 
     def arrive(self, call, answer):
@@ -334,11 +362,11 @@
         if not self.fencing and self.now - call.sent_at > lease_confirmation.FLIGHT_S:
             return
         seen = self.seen.get(call.service, 0)
-        if call.fence < seen and self.fencing:
+        if call.fencing_token < seen and self.fencing:
             status = 409
         else:
-            assert call.fence >= seen, "a lower fence than the platform has seen"
-            self.seen[call.service] = call.fence
+            assert call.fencing_token >= seen, "a lower fence than the platform has seen"
+            self.seen[call.service] = call.fencing_token
             status = 409 if call.backend in self.dark else 200
             rows = self.rows[call.service]
             if status == 200 and rows[call.backend][0] != "primary":
@@ -361,15 +389,14 @@
             process.end()
 
     def holders(self):
-        return [ip for ip, one in self.offices.items() if lease.holds_duty(one, self.now)]
+        return [ip for ip, one in self.cores.items() if one.failover_lease.is_held(self.now)]
 
 
-def staged(patch: pytest.MonkeyPatch, world: DutyLand) -> DutyLand:
-    """The real caretaker and errands over the stand-ins."""
+def staged(patch: pytest.MonkeyPatch, world: LeaseCluster) -> LeaseCluster:
+    """The real supervisor and executor over the stand-ins."""
     stand_in = SimpleNamespace(spawn=world.spawn, sleep=world.sleep)
     for module in (executor, supervisor):
         patch.setattr(module, "curio", stand_in)
     patch.setattr(executor, "call", world.call)
     patch.setattr(executor, "dial", world.dial)
-    patch.setitem(executor.RUNNERS, Ask, world.ask)
     return world
--- a/tests/linear.py
+++ b/tests/linear.py
@@ -18,7 +18,7 @@
     said: object  # "ok", "refused", "unclear", or what a reading gave
 
 
-def configuration(state: tuple, operation: Operation):
+def configuration_register(state: tuple, operation: Operation):
     """The register of configurations: (current, those taken). Gives the next state; None where this can't be."""
     current, taken = state
     if operation.what[0] == "read":
@@ -32,7 +32,7 @@
     return (ver, taken | {(ver, body)}) if fits and not was else None
 
 
-def evacuations(state: frozenset, operation: Operation):
+def zone_drains(state: frozenset, operation: Operation):
     """The zones that are being emptied."""
     if operation.what[0] == "read":
         return state if operation.said == state else None
--- a/tests/model/__main__.py
+++ b/tests/model/__main__.py
@@ -40,9 +40,9 @@
     )
     print(
         f"world {asked.world}, seed {asked.seed}: {found.states} states, {found.steps} steps, "
-        f"{'all that there are' if found.whole else 'not all that there are'}"
+        f"{'all that there are' if found.complete else 'not all that there are'}"
     )
-    return tell(found.violation, found.schedule)
+    return export_state(found.violation, found.schedule)
 
 
 def nodes(asked) -> int:
@@ -69,10 +69,10 @@
     )
     if walked.violation:
         print(f"again with: python3 -m tests.model --once --seed {seed - 1}")
-    return tell(walked.violation, walked.schedule)
+    return export_state(walked.violation, walked.schedule)
 
 
-def tell(violation: str, schedule) -> int:
+def export_state(violation: str, schedule) -> int:
     if not violation:
         print("no violation")
         return 0
--- a/tests/model/acceptors.py
+++ b/tests/model/acceptors.py
@@ -9,27 +9,36 @@
 import copy
 import itertools
 import random
+from typing import ClassVar
 
 import msgspec
 
 from sumacloom.consensus.acceptor import Acceptor
-from sumacloom.consensus.messages import Accept, Prepare, Reconfigured, Refused, Tell, Told
-from sumacloom.consensus.proposal import Ballots, Proposal
-from sumacloom.consensus.quorum import Configuration
-from sumacloom.consensus.reconfiguration import KEY, again, follow_on
-from sumacloom.controller.registers.values import BlueprintValue, decode, put_blueprint
-from sumacloom.types import NO_BALLOT
-
-FIRST = Configuration(1, (), ("a", "b", "c"))
-JOINT = Configuration(2, ("a", "b", "c"), ("b", "c", "d"))
-LAST = Configuration(3, (), ("b", "c", "d"))
+from sumacloom.consensus.codec import decode, rewrite
+from sumacloom.consensus.messages import (
+    Accept,
+    Prepare,
+    QuorumChanged,
+    Rejected,
+    StateRequest,
+    StateTransfer,
+)
+from sumacloom.consensus.proposal import Phase, Proposal
+from sumacloom.consensus.proposal_number import NO_PROPOSAL, ProposalNumberSource
+from sumacloom.consensus.quorum import QuorumConfiguration
+from sumacloom.consensus.reconfiguration import VOTERS_KEY, replace_quorum
+from sumacloom.controller.registers.configuration import ConfigurationValue, put_configuration
+
+FIRST = QuorumConfiguration(1, (), ("a", "b", "c"))
+JOINT = QuorumConfiguration(2, ("a", "b", "c"), ("b", "c", "d"))
+LAST = QuorumConfiguration(3, (), ("b", "c", "d"))
 VICTIM = "b"
 
 
-class Violation(Exception):
+class Violation(Exception):  # noqa: N818 - a finding of the search, not an error
     """An invariant does not hold; `schedule` is filled in by the search."""
 
-    schedule: list = []
+    schedule: ClassVar[list] = []
 
 
 class Luck(random.Random):
@@ -47,11 +56,11 @@
 class Voter:
     """An acceptor with its disk, and what it needs to learn."""
 
-    def __init__(self, name, configuration):
-        self.acceptor, self.name = Acceptor(configuration, 1), name
-        self.ballots, self.barrier, self.tales, self.asks = (
-            Ballots(name, 7, Luck()),
-            NO_BALLOT,
+    def __init__(self, name, quorum):
+        self.acceptor, self.name = Acceptor(quorum, 1), name
+        self.proposal_numbers, self.barrier, self.transfers, self.asks = (
+            ProposalNumberSource(name, 7, Luck()),
+            NO_PROPOSAL,
             {},
             0,
         )
@@ -61,23 +70,28 @@
         """A copy that may be changed."""
         other = copy.copy(self)
         other.acceptor = copy.copy(self.acceptor)
-        other.acceptor.slots = dict(self.acceptor.slots)
-        other.ballots, other.tales = copy.copy(self.ballots), dict(self.tales)
+        other.acceptor.registers = dict(self.acceptor.registers)
+        other.proposal_numbers, other.transfers = (
+            copy.copy(self.proposal_numbers),
+            dict(self.transfers),
+        )
         return other
 
     def freeze(self):
         acceptor = self.acceptor
         self.state = hash(
             (
-                acceptor.configuration.generation,
+                acceptor.quorum.version,
                 acceptor.incarnation,
-                acceptor.learned,
-                acceptor.floor,
-                tuple(sorted(acceptor.slots.items())),
+                acceptor.recovered,
+                acceptor.promised_floor,
+                tuple(sorted(acceptor.registers.items())),
                 self.barrier,
                 self.asks,
-                self.ballots.round,
-                tuple(sorted((voter, frozen(told)) for voter, told in self.tales.items())),
+                self.proposal_numbers.round,
+                tuple(
+                    sorted((voter, frozen(reported)) for voter, reported in self.transfers.items())
+                ),
             )
         )
         return self
@@ -93,30 +107,30 @@
     def thaw(self):
         other = copy.copy(self)
         proposal = other.proposal = copy.copy(self.proposal)
-        for name in ("replies", "accepted", "refused", "late"):
+        for name in ("replies", "accepted_by", "rejected_by", "newer_at"):
             setattr(proposal, name, copy.copy(getattr(proposal, name)))
-        proposal.ballots = copy.copy(proposal.ballots)
+        proposal.proposal_numbers = copy.copy(proposal.proposal_numbers)
         return other
 
     def freeze(self):
         proposal = self.proposal
         if proposal.outcome is not None:
-            self.state = hash(proposal.decided)
+            self.state = hash(proposal.committed)
             return self
         replies = proposal.replies.items()
-        told = (
+        reported = (
             tuple(sorted((voter, frozen(reply)) for voter, reply in replies))
-            if proposal.round == "prepare"
+            if proposal.phase is Phase.PREPARE
             else tuple(sorted(proposal.replies))
         )
         self.state = hash(
             (
-                proposal.round,
-                proposal.ballot,
-                proposal.configuration.generation,
+                proposal.phase.value,
+                proposal.proposal_number,
+                proposal.quorum.version,
                 proposal.value,
-                told,
-                tuple(sorted(proposal.accepted)),
+                reported,
+                tuple(sorted(proposal.accepted_by)),
             )
         )
         return self
@@ -125,7 +139,7 @@
 class World:
     """One state: voters, proposals, the bag of messages and what may still be lost or doubled."""
 
-    name, configurations, follows = "", [FIRST], True
+    name, quorums, follows = "", [FIRST], True
 
     def __init__(self, losses=0, doubles=0, early_reply=False):
         (
@@ -135,7 +149,7 @@
         self.losses, self.doubles, self.early_reply = losses, doubles, early_reply
         self.voters = {
             name: Voter(name, FIRST)
-            for name in sorted({v for c in self.configurations for v in c.members})
+            for name in sorted({v for c in self.quorums for v in c.members})
         }
         self.askers, self.bag, self.stage = {}, (), 0
 
@@ -158,11 +172,16 @@
         return other
 
     # ------------------------------------------------------------ changes of one state into the next
-    def ask(self, name, ver, configuration, above=0):
-        ballots = Ballots(name, 7, Luck())
-        ballots.round = above
+    def ask(self, name, ver, quorum, above=0):
+        proposal_numbers = ProposalNumberSource(name, 7, Luck())
+        proposal_numbers.round = above
         proposal = Proposal(
-            "k", put_blueprint(ver, b"%d" % ver, 0), configuration, (NO_BALLOT, None), ballots, 0.0
+            "k",
+            put_configuration(ver, b"%d" % ver, 0),
+            quorum,
+            (NO_PROPOSAL, None),
+            proposal_numbers,
+            0.0,
         )
         self.askers[name] = Asker(proposal)
         self.put(name, proposal.messages())
@@ -174,7 +193,7 @@
             )
         )
 
-    def deliver(self, entry, doubled=False, dies=False, unheard=False):
+    def deliver(self, entry, doubled=False, dies=False, unheard_since=False):
         """The world in which a message of the bag was heard; None if that changes nothing."""
         world = self.branch()
         if doubled:
@@ -186,9 +205,9 @@
         target, source, number = entry
         before = world.voters[target]
         voter = world.voters[target] = before.thaw()
-        reply = hear(voter, source, MESSAGES[number], world.askers.get(source))
+        reply = receive(voter, source, MESSAGES[number], world.askers.get(source))
         voter.freeze()
-        if isinstance(reply, Refused) or (reply is None and voter.state == before.state):
+        if isinstance(reply, Rejected) or (reply is None and voter.state == before.state):
             return None
         if dies:  # the disk keeps what it had; a reply that waits for it never leaves
             world.losses -= 1
@@ -196,12 +215,12 @@
             reply = reply if self.early_reply else None
         if source in world.voters:
             learner = world.voters[source] = world.voters[source].thaw()
-            learn(learner, target, reply)
+            recover(learner, target, reply)
             learner.freeze()
         elif (
             reply is not None
-            and not unheard
-            and (self.follows or not isinstance(reply, Reconfigured))
+            and not unheard_since
+            and (self.follows or not isinstance(reply, QuorumChanged))
         ):
             world.answer(source, target, reply)
             world.forget(source)
@@ -215,29 +234,32 @@
             for entry in self.bag
             if entry[1] != name
             or not isinstance(MESSAGES[entry[2]], Prepare)
-            or (proposal.outcome is None and MESSAGES[entry[2]].ballot == proposal.ballot)
+            or (
+                proposal.outcome is None
+                and MESSAGES[entry[2]].proposal_number == proposal.proposal_number
+            )
         )
 
     def answer(self, name, voter, reply):
         """A proposer hears a vote, or who votes now."""
         asker = self.askers[name] = self.askers[name].thaw()
-        if isinstance(reply, Reconfigured):
-            self.put(name, asker.proposal.count_by(reply.configuration, 0.0))
+        if isinstance(reply, QuorumChanged):
+            self.put(name, asker.proposal.use_quorum(reply.quorum, 0.0))
         else:
-            self.put(name, asker.proposal.hear(voter, reply, 0.0))
+            self.put(name, asker.proposal.receive(voter, reply, 0.0))
         asker.freeze()
         self.check()
 
     def check(self):
         """All that is known to be decided is one chain: each value was built on those before."""
-        decided = sorted(
-            asker.proposal.decided for asker in self.askers.values() if asker.proposal.decided
+        committed = sorted(
+            asker.proposal.committed for asker in self.askers.values() if asker.proposal.committed
         )
-        values = [decode(BlueprintValue, value) for _ballot, value in decided]
+        values = [decode(ConfigurationValue, value) for _ballot, value in committed]
         for lower, higher in itertools.pairwise(values):
-            if not set(lower.taken.entries) <= set(higher.taken.entries):
+            if not set(lower.order_history.entries) <= set(higher.order_history.entries):
                 raise Violation(
-                    f"{lower.taken.entries} was decided and is missing from {higher.taken.entries}"
+                    f"{lower.order_history.entries} was decided and is missing from {higher.order_history.entries}"
                 )
 
     # ------------------------------------------------------------ all that may happen next
@@ -251,7 +273,10 @@
             if self.doubles:
                 yield ("double", *entry), lambda entry=entry: self.deliver(entry, doubled=True)
             if isinstance(message, Prepare):
-                yield ("unheard", *entry), lambda entry=entry: self.deliver(entry, unheard=True)
+                yield (
+                    ("unheard", *entry),
+                    lambda entry=entry: self.deliver(entry, unheard_since=True),
+                )
             if self.losses and self.early_reply and isinstance(message, (Prepare, Accept)):
                 yield ("crash", *entry), lambda entry=entry: self.deliver(entry, dies=True)
 
@@ -268,26 +293,29 @@
 NUMBERS, MESSAGES = {}, []
 
 
-def hear(voter, source, message, asker):
+def receive(voter, source, message, asker):
     """What a voter says to a message; one that counts by older voters is told the newer first."""
     acceptor = voter.acceptor
-    if isinstance(message, Tell):
-        acceptor.raise_floor(message.barrier)
-        return acceptor.tell()
-    if asker and acceptor.configuration.generation < message.configuration:
-        acceptor.configuration = asker.proposal.configuration
-    return acceptor.hear(message)[0]
+    if isinstance(message, StateRequest):
+        acceptor.promise_at_least(message.barrier)
+        return acceptor.export_state()
+    if asker and acceptor.quorum.version < message.quorum:
+        acceptor.quorum = asker.proposal.quorum
+    return acceptor.receive(message)[0]
 
 
-def learn(voter, source, message: Told) -> None:
+def recover(voter, source, message: StateTransfer) -> None:
     """What a node does with a tale."""
-    if voter.acceptor.learned or message is None:
+    if voter.acceptor.recovered or message is None:
         return
-    for promised in (message.floor, *(slot[1] for slot in message.slots)):
-        voter.ballots.saw(promised)
-    voter.tales[source] = message
-    if voter.acceptor.learn(voter.tales, voter.barrier) is not None:
-        voter.acceptor.incarnation, voter.tales = 2, {}
+    for promised in (
+        message.promised_floor,
+        *(register_state[1] for register_state in message.registers),
+    ):
+        voter.proposal_numbers.observe(promised)
+    voter.transfers[source] = message
+    if voter.acceptor.recover(voter.transfers, voter.barrier) is not None:
+        voter.acceptor.incarnation, voter.transfers = 2, {}
 
 
 class Lossy(World):
@@ -303,29 +331,37 @@
     def steps(self):
         yield from super().steps()
         voter = self.voters[VICTIM]
-        if self.losses and voter.acceptor.learned and not self.early_reply:
+        if self.losses and voter.acceptor.recovered and not self.early_reply:
             yield ("wipe", VICTIM), self.wipe
         above = any(
             promised > voter.barrier
-            for told in voter.tales.values()
-            for promised in (told.floor, *(slot[1] for slot in told.slots))
+            for reported in voter.transfers.values()
+            for promised in (
+                reported.promised_floor,
+                *(register_state[1] for register_state in reported.registers),
+            )
         )
-        if not voter.acceptor.learned and above and voter.asks < 2:
-            yield ("ask", VICTIM), self.learn
+        if not voter.acceptor.recovered and above and voter.asks < 2:
+            yield ("ask", VICTIM), self.recover
 
     def wipe(self):
         world = self.branch()
         world.losses -= 1
         voter = world.voters[VICTIM] = Voter(VICTIM, FIRST)
-        voter.acceptor.learned, voter.acceptor.incarnation = False, 0
-        return world.learn()
+        voter.acceptor.recovered, voter.acceptor.incarnation = False, 0
+        return world.recover()
 
-    def learn(self):
+    def recover(self):
         world = self.branch()
         voter = world.voters[VICTIM] = world.voters[VICTIM].thaw()
-        voter.asks, voter.barrier, voter.tales = voter.asks + 1, voter.ballots.next(), {}
+        voter.asks, voter.barrier, voter.transfers = (
+            voter.asks + 1,
+            voter.proposal_numbers.next(),
+            {},
+        )
         world.put(
-            VICTIM, [(other, Tell(voter.barrier)) for other in world.voters if other != VICTIM]
+            VICTIM,
+            [(other, StateRequest(voter.barrier)) for other in world.voters if other != VICTIM],
         )
         voter.freeze()
         return world
@@ -337,7 +373,7 @@
     The rounds of the change are steps of their own; what proposers say meanwhile is played message by message.
     """
 
-    name, configurations = "change", [FIRST, LAST]
+    name, quorums = "change", [FIRST, LAST]
 
     def __init__(self, losses=0, doubles=0, early_reply=False, rewrite=True, follows=True):
         super().__init__(losses, doubles, early_reply)
@@ -352,16 +388,16 @@
     def steps(self):
         yield from super().steps()
         rounds = [
-            (FIRST, [(KEY, follow_on(JOINT))]),
-            (JOINT, [(KEY, again), *([("k", again)] if self.rewrite else [])]),
-            (JOINT, [(KEY, follow_on(LAST))]),
+            (FIRST, [(VOTERS_KEY, replace_quorum(JOINT))]),
+            (JOINT, [(VOTERS_KEY, rewrite), *([("k", rewrite)] if self.rewrite else [])]),
+            (JOINT, [(VOTERS_KEY, replace_quorum(LAST))]),
         ]
         if self.stage < len(rounds):
-            configuration, changes = rounds[self.stage]
-            for quorum in smallest(configuration):
+            quorum, changes = rounds[self.stage]
+            for voters in smallest(quorum):
                 yield (
-                    ("round", self.stage + 1, *quorum),
-                    lambda quorum=quorum: self.whole_round(configuration, changes, quorum),
+                    ("round", self.stage + 1, *voters),
+                    lambda voters=voters: self.whole_round(quorum, changes, voters),
                 )
         elif "q" not in self.askers:
             yield ("ask", "q"), self.second
@@ -371,43 +407,50 @@
         world.ask("q", 5, LAST, above=19)
         return world
 
-    def whole_round(self, configuration, changes, quorum):
+    def whole_round(self, quorum, changes, voters):
         """The world after these changes were decided at these voters; those learn who votes by it."""
         world = self.branch()
         world.stage += 1
-        for name in quorum:
+        for name in voters:
             voter = world.voters[name] = world.voters[name].thaw()
-            if voter.acceptor.configuration.generation > configuration.generation:
-                raise Violation(f"{name} votes by {voter.acceptor.configuration} already")
-            voter.acceptor.configuration = configuration
+            if voter.acceptor.quorum.version > quorum.version:
+                raise Violation(f"{name} votes by {voter.acceptor.quorum} already")
+            voter.acceptor.quorum = quorum
         for key, change in changes:
             proposal = Proposal(
-                key, change, configuration, (NO_BALLOT, None), Ballots("m", self.stage, Luck()), 0.0
+                key,
+                change,
+                quorum,
+                (NO_PROPOSAL, None),
+                ProposalNumberSource("m", self.stage, Luck()),
+                0.0,
             )
-            for name in quorum:
-                proposal.ballots.saw(world.voters[name].acceptor.slot(key).promised)
-            proposal.begin(0.0)
+            for name in voters:
+                proposal.proposal_numbers.observe(
+                    world.voters[name].acceptor.register_state(key).promised
+                )
+            proposal.start_round(0.0)
             post = proposal.messages()
             while post:
                 name, message = post.pop(0)
-                if name in quorum:
-                    reply, _keys = world.voters[name].acceptor.hear(message)
-                    post += proposal.hear(name, reply, 0.0)
-            if proposal.outcome is None or proposal.outcome.is_err():
+                if name in voters:
+                    reply, _keys = world.voters[name].acceptor.receive(message)
+                    post += proposal.receive(name, reply, 0.0)
+            if proposal.outcome is None or proposal.outcome.error is not None:
                 return None  # refused at some voter: no step
-        for name in quorum:
+        for name in voters:
             world.voters[name].freeze()
         return world
 
 
-def smallest(configuration: Configuration) -> list[tuple]:
+def smallest(quorum: QuorumConfiguration) -> list[tuple]:
     """The majorities from which no voter can be taken."""
-    members = configuration.members
+    members = quorum.members
     subsets = [
         tuple(name for bit, name in enumerate(members) if mask >> bit & 1)
         for mask in range(1 << len(members))
     ]
-    enough = [voices for voices in subsets if configuration.has_quorum(voices)]
+    enough = [voices for voices in subsets if quorum.has_quorum(voices)]
     return [voices for voices in enough if not any(set(other) < set(voices) for other in enough)]
 
 
--- a/tests/model/explore.py
+++ b/tests/model/explore.py
@@ -12,7 +12,7 @@
 
     states: int
     steps: int
-    whole: bool
+    complete: bool
     violation: str = ""
     schedule: tuple = ()
 
--- a/tests/model/faults.py
+++ b/tests/model/faults.py
@@ -5,10 +5,10 @@
 import msgspec
 
 from sumacloom.consensus.acceptor import Acceptor
-from sumacloom.consensus.messages import Accept, Promise, Query, Told
-from sumacloom.consensus.proposal import Proposal
-from sumacloom.consensus.quorum import Configuration
-from sumacloom.types import NO_BALLOT
+from sumacloom.consensus.messages import Accept, Promise, ReadRequest, StateTransfer
+from sumacloom.consensus.proposal import Phase, Proposal, _Reply
+from sumacloom.consensus.proposal_number import NO_PROPOSAL
+from sumacloom.consensus.quorum import QuorumConfiguration
 
 WITHOUT = {}
 
@@ -38,84 +38,82 @@
         setattr(owner, attribute, original)
 
 
-@without("promise", Acceptor, "hear")
+@without("promise", Acceptor, "receive")
 def forget_the_promise(original):
-    def hear(self, message):
+    def receive(self, message):
         if (
-            not isinstance(message, Query)
-            and message.key in self.slots
-            and message.ballot < self.slots[message.key].promised
+            not isinstance(message, ReadRequest)
+            and message.key in self.registers
+            and message.proposal_number < self.registers[message.key].promised
         ):
-            self.slots[message.key] = self.slots[message.key]._replace(promised=NO_BALLOT)
+            self.registers[message.key] = self.registers[message.key]._replace(promised=NO_PROPOSAL)
         return original(self, message)
 
-    return hear
+    return receive
 
 
-@without("incarnation", Acceptor, "hear")
+@without("incarnation", Acceptor, "receive")
 def accept_in_any_incarnation(original):
-    def hear(self, message):
+    def receive(self, message):
         if isinstance(message, Accept):
             message = msgspec.structs.replace(message, incarnation=self.incarnation)
         return original(self, message)
 
-    return hear
+    return receive
 
 
-@without("generation", Acceptor, "hear")
+@without("generation", Acceptor, "receive")
 def vote_in_any_configuration(original):
-    def hear(self, message):
-        return original(
-            self, msgspec.structs.replace(message, configuration=self.configuration.generation)
-        )
+    def receive(self, message):
+        return original(self, msgspec.structs.replace(message, quorum=self.quorum.version))
 
-    return hear
+    return receive
 
 
-@without("tellers", Configuration, "meets_every_quorum")
+@without("tellers", QuorumConfiguration, "intersects_every_quorum")
 def learn_from_one(_original):
     return lambda self, voices: any(voter in voices for voter in self.members)
 
 
-@without("barrier", Acceptor, "learn")
+@without("barrier", Acceptor, "recover")
 def learn_from_any_tale(original):
-    def learn(self, tales, barrier=NO_BALLOT):
+    def recover(self, transfers, barrier=NO_PROPOSAL):
         return original(
             self,
             {
-                voter: Told(
-                    told.configuration,
+                voter: StateTransfer(
+                    reported.quorum,
                     [
                         (key, barrier, accepted, value)
-                        for key, _promised, accepted, value in told.slots
+                        for key, _promised, accepted, value in reported.registers
                     ],
                     barrier,
                 )
-                for voter, told in tales.items()
+                for voter, reported in transfers.items()
             },
             barrier,
         )
 
-    return learn
+    return recover
 
 
-@without("joint", Configuration, "has_quorum")
+@without("joint", QuorumConfiguration, "has_quorum")
 def count_the_new_alone(_original):
     return lambda self, voices: sum(voter in voices for voter in self.new) > len(self.new) // 2
 
 
-@without("newest", Proposal, "newest")
+@without("newest", Proposal, "_newest_reply")
 def ignore_what_was_accepted(_original):
-    return lambda self: (self.known_ballot, self.known_value, False)
+    return lambda self: _Reply(self.known_number, self.known_value, False)
 
 
-@without("counted", Proposal, "hear")
+@without("counted", Proposal, "receive")
 def ask_the_late_too(original):
-    def hear(self, voter, message, now):
+    def receive(self, voter, message, now):
         late = (
             isinstance(message, Promise)
-            and self.round == "accept"
-            and message.ballot == self.ballot
+            and self.phase is Phase.ACCEPT
+            and message.proposal_number == self.proposal_number
         )
         if late and self.outcome is None and self.resume_at is None and voter not in self.replies:
             self.replies[voter] = message
@@ -124,13 +122,13 @@
                     voter,
                     Accept(
                         self.key,
-                        self.ballot,
+                        self.proposal_number,
                         self.value,
                         message.incarnation,
-                        self.configuration.generation,
+                        self.quorum.version,
                     ),
                 )
             ]
         return original(self, voter, message, now)
 
-    return hear
+    return receive
--- a/tests/model/machine.py
+++ b/tests/model/machine.py
@@ -50,8 +50,8 @@
         """What every node holds for decided is what was decided."""
         if hasattr(self, "world"):
             for node in self.world.nodes.values():
-                for key, (ballot, value) in node.decided.items():
-                    assert self.world.decided[(key, tuple(ballot))] == value
+                for key, (proposal_number, value) in node.committed.items():
+                    assert self.world.committed[(key, tuple(proposal_number))] == value
 
     def teardown(self):
         if hasattr(self, "world"):
--- a/tests/model/walk.py
+++ b/tests/model/walk.py
@@ -18,7 +18,7 @@
 def lose(world, number, how):
     """One loss, where nothing else is lost; the lost one comes back, whole or empty."""
     ip = pick(world, number)
-    if ip is None or not world.whole():
+    if ip is None or not world.complete():
         return
     if how == "replace":
         world.replace(ip)
@@ -30,16 +30,16 @@
         world.start(ip)
 
 
-def cut(world, number, both):
+def partitioned(world, number, both):
     """One node isn't heard, or neither heard nor hearing, or all is heard again."""
-    if world.cut:
-        world.cut.clear()
+    if world.partitioned:
+        world.partitioned.clear()
         return
     ip = pick(world, number)
-    if ip is None or not world.whole():
+    if ip is None or not world.complete():
         return
     others = [other for other in world.nodes if other != ip]
-    world.cut = {(ip, other) for other in others} | (
+    world.partitioned = {(ip, other) for other in others} | (
         {(other, ip) for other in others} if both else set()
     )
 
@@ -48,7 +48,7 @@
     """A node stands still, or goes on with its backlog."""
     if world.frozen:
         world.thaw(pick(world, number, world.frozen))
-    elif world.whole():
+    elif world.complete():
         world.freeze(pick(world, number))
 
 
@@ -79,7 +79,7 @@
     "crash": lambda world, number: lose(world, number, "crash"),
     "wipe": lambda world, number: lose(world, number, "wipe"),
     "replace": lambda world, number: lose(world, number, "replace"),
-    "cut": lambda world, number: cut(world, number, number % 2),
+    "cut": lambda world, number: partitioned(world, number, number % 2),
     "frozen": frozen,
 }
 WEIGHTS = {"deliver": 8, "busy": 6, "put": 4, "race": 4, "long": 2, "wipe": 2, "sync": 3}
--- a/tests/model/world.py
+++ b/tests/model/world.py
@@ -7,20 +7,17 @@
 import itertools
 import random
 
-from sumacloom.consensus import reconfiguration
-from sumacloom.consensus.messages import Decided
-from sumacloom.consensus.node import Node
-from sumacloom.consensus.quorum import Configuration
-from sumacloom.controller.registers.values import (
-    BlueprintValue,
-    DutyValue,
-    claim_duty,
-    decode,
-    keep,
-    put_blueprint,
-)
+from sumacloom.consensus.codec import decode, unchanged
+from sumacloom.consensus.messages import Committed
+from sumacloom.consensus.node import ConsensusNode, PeerState
+from sumacloom.consensus.quorum import QuorumConfiguration
+from sumacloom.consensus.reconfiguration import VOTERS_KEY
+from sumacloom.controller.registers import REGISTER_KEYS
+from sumacloom.controller.registers.configuration import ConfigurationValue, put_configuration
+from sumacloom.controller.registers.lease import LeaseValue, acquire_lease
+from sumacloom.errors import SumacloomError
 from sumacloom.settings import Settings
-from sumacloom.transport.messages import PeerBeat, Unframer, frame
+from sumacloom.transport.messages import FrameDecoder, PeerHeartbeat, encode_frame
 
 from .acceptors import Violation
 
@@ -31,7 +28,7 @@
     """What is synced outlives the process; of what is being written any leading part may be left by a death."""
 
     def __init__(self):
-        self.kept, self.full, self.damaged = [], False, None
+        self.kept, self.should_snapshot, self.damage = [], False, None
 
     def open(self):
         self.payloads, self.fresh = list(self.kept), not self.kept
@@ -41,17 +38,20 @@
         self.kept += payloads
 
 
-class Watched(Node):
+class Watched(ConsensusNode):
     """A node that tells the world what it takes for decided."""
 
     def __init__(self, world, *rest):
         self.world = world
         super().__init__(*rest)
-        self.storage.prompt = False
+        self.storage.synchronous = False
 
-    def settle(self, key, ballot, value, now):
-        self.world.decided_at(self.me, key, ballot, value)
-        return super().settle(key, ballot, value, now)
+    def fixed_keys(self):
+        return REGISTER_KEYS
+
+    def commit(self, key, proposal_number, value, now):
+        self.world.decided_at(self.me, key, proposal_number, value)
+        return super().commit(key, proposal_number, value, now)
 
 
 class NodeWorld:
@@ -60,34 +60,47 @@
     def __init__(self, seed=0, voters=3, early_reply=False):
         self.random, self.now, self.early_reply = random.Random(seed), 0.0, early_reply
         self.seeds = [f"10.0.0.{number}" for number in range(1, voters + 1)]
-        self.nodes, self.disks, self.frozen, self.cut = {}, {}, set(), set()
+        self.nodes, self.disks, self.frozen, self.partitioned = {}, {}, set(), set()
         self.post, self.backlog = [], {}
-        self.decided, self.acknowledged, self.open_orders, self.lives = {}, [], [], 0
+        self.committed, self.acknowledged, self.open_orders, self.incarnations = {}, [], [], 0
         self.next_number, self.orders, self.steps = voters + 1, 0, 0
         for ip in self.seeds:
             self.start(ip, bootstrap=True)
 
     # ------------------------------------------------------------ invariants
-    def decided_at(self, ip, key, ballot, value):
+    def decided_at(self, ip, key, proposal_number, value):
         """One value per ballot; one chain per key; one voter set per generation; fences only rise."""
-        if self.decided.setdefault((key, tuple(ballot)), value) != value:
-            raise Violation(f"{key}: two values were decided at {ballot}")
-        chain = sorted((held, found) for (name, held), found in self.decided.items() if name == key)
+        if self.committed.setdefault((key, tuple(proposal_number)), value) != value:
+            raise Violation(f"{key}: two values were decided at {proposal_number}")
+        chain = sorted(
+            (held, found) for (name, held), found in self.committed.items() if name == key
+        )
         for (_low, lower), (_high, higher) in itertools.pairwise(chain):
             if key == "blueprint":
-                before, after = decode(BlueprintValue, lower), decode(BlueprintValue, higher)
-                if after.taken.entries[: len(before.taken.entries)] != before.taken.entries:
+                before, after = (
+                    decode(ConfigurationValue, lower),
+                    decode(ConfigurationValue, higher),
+                )
+                if (
+                    after.order_history.entries[: len(before.order_history.entries)]
+                    != before.order_history.entries
+                ):
                     raise Violation(
-                        f"{before.taken.entries} was decided and is missing from {after.taken.entries}"
+                        f"{before.order_history.entries} was decided and is missing from {after.order_history.entries}"
                     )
             elif key == "duty/failover":
-                before, after = decode(DutyValue, lower), decode(DutyValue, higher)
-                if after.fence < before.fence or (after.fence == before.fence and after != before):
+                before, after = decode(LeaseValue, lower), decode(LeaseValue, higher)
+                if after.fencing_token < before.fencing_token or (
+                    after.fencing_token == before.fencing_token and after != before
+                ):
                     raise Violation(f"the fence of {after} is not above that of {before}")
-            elif key == reconfiguration.KEY:
-                before, after = decode(Configuration, lower), decode(Configuration, higher)
-                if after.generation < before.generation or (
-                    after.generation == before.generation and after != before
+            elif key == VOTERS_KEY:
+                before, after = (
+                    decode(QuorumConfiguration, lower),
+                    decode(QuorumConfiguration, higher),
+                )
+                if after.version < before.version or (
+                    after.version == before.version and after != before
                 ):
                     raise Violation(f"{after} was decided after {before}")
 
@@ -96,15 +109,15 @@
         for order in [order for order in self.open_orders if order[-1].outcome is not None]:
             self.open_orders.remove(order)
             kind, ver, proposal = order
-            if kind == "put" and proposal.outcome.is_ok():
+            if kind == "put" and proposal.outcome.succeeded:
                 self.acknowledged.append(ver)
             if (
                 kind == "again"
-                and proposal.outcome.is_err()
-                and proposal.outcome.err().name in ("stale_match", "old_generation")
+                and proposal.outcome.error is not None
+                and proposal.outcome.error.name in ("stale_match", "old_generation")
             ):
                 raise Violation(
-                    f"{ver} was acknowledged and is refused when sent again: {proposal.outcome.err().name}"
+                    f"{ver} was acknowledged and is refused when sent again: {proposal.outcome.error.name}"
                 )
 
     # ------------------------------------------------------------ steps
@@ -119,9 +132,9 @@
             voting=True,
         )
         disk = self.disks.setdefault(ip, Disk())
-        self.lives += 1
+        self.incarnations += 1
         self.nodes[ip] = Watched(
-            self, settings, disk.open(), random.Random(f"{ip} {self.lives}"), self.now
+            self, settings, disk.open(), random.Random(f"{ip} {self.incarnations}"), self.now
         )
 
     def crash(self, ip, kept=0):
@@ -148,10 +161,10 @@
     def sync(self, ip, batches=1):
         """The disk of a node comes up to date with its first batches."""
         storage = self.nodes[ip].storage
-        taken = storage.take()[:batches]
-        if taken:
-            storage.sync(taken)
-            self.nodes[ip].written(taken, self.now)
+        pending = storage.pending_batches()[:batches]
+        if pending:
+            storage.sync(pending)
+            self.nodes[ip].handle_synced(pending, self.now)
 
     def freeze(self, ip):
         self.frozen.add(ip)
@@ -160,14 +173,14 @@
         """A frozen node hears its backlog, late."""
         self.frozen.discard(ip)
         for peer, message in self.backlog.pop(ip, []):
-            self.nodes[ip].hear(peer, message, self.now)
+            self.nodes[ip].receive(peer, message, self.now)
 
     def put(self, ip):
         """An operator's change, built on the newest value that this node knows."""
         node = self.nodes[ip]
         base = (
-            decode(BlueprintValue, node.decided["blueprint"][1]).ver
-            if "blueprint" in node.decided
+            decode(ConfigurationValue, node.committed["blueprint"][1]).ver
+            if "blueprint" in node.committed
             else 0
         )
         self.orders += 1
@@ -176,7 +189,9 @@
             (
                 "put",
                 ver,
-                node.propose("blueprint", put_blueprint(ver, b'{"ver": %d}' % ver, base), self.now),
+                node.propose(
+                    "blueprint", put_configuration(ver, b'{"ver": %d}' % ver, base), self.now
+                ),
             )
         )
 
@@ -185,21 +200,21 @@
         if self.acknowledged:
             ver = self.acknowledged[-1]
             proposal = self.nodes[ip].propose(
-                "blueprint", put_blueprint(ver, b'{"ver": %d}' % ver, 0), self.now
+                "blueprint", put_configuration(ver, b'{"ver": %d}' % ver, 0), self.now
             )
             self.open_orders.append(("again", ver, proposal))
 
     def claim(self, ip):
         node = self.nodes[ip]
         held = (
-            decode(DutyValue, node.decided["duty/failover"][1])
-            if "duty/failover" in node.decided
+            decode(LeaseValue, node.committed["duty/failover"][1])
+            if "duty/failover" in node.committed
             else None
         )
-        node.propose("duty/failover", claim_duty(ip, node.nonce, held), self.now)
+        node.propose("duty/failover", acquire_lease(ip, node.nonce, held), self.now)
 
     def read(self, ip):
-        self.nodes[ip].propose("blueprint", keep, self.now, reading=True)
+        self.nodes[ip].propose("blueprint", unchanged, self.now, reading=True)
 
     # ------------------------------------------------------------ network and clock
     def collect(self):
@@ -209,9 +224,9 @@
             self.post += [(ip, peer, message) for peer, message in outbox]
             if self.early_reply and ip not in self.frozen:
                 for batch in node.storage.batches:
-                    held, batch.after[:] = list(batch.after), []
+                    held, batch.deferred[:] = list(batch.deferred), []
                     for peer, message in held:
-                        node.deliver(peer, message)
+                        node.send(peer, message)
 
     def deliver(self, at, doubled=False):
         """One message of those on their way arrives, or is lost at a cut."""
@@ -220,56 +235,56 @@
         ip, peer, message = (
             self.post[at % len(self.post)] if doubled else self.post.pop(at % len(self.post))
         )
-        if peer not in self.nodes or (ip, peer) in self.cut:
+        if peer not in self.nodes or (ip, peer) in self.partitioned:
             return
-        message = Unframer().feed(frame(message))[0]
+        message = FrameDecoder().feed(encode_frame(message))[0]
         if peer in self.frozen:
             self.backlog.setdefault(peer, []).append((ip, message))
         else:
-            self.nodes[peer].hear(ip, message, self.now)
+            self.nodes[peer].receive(ip, message, self.now)
 
     def drop(self, at):
         if self.post:
             self.post.pop(at % len(self.post))
 
-    def beat(self):
+    def heartbeat(self):
         """Heartbeats: who is heard, who hears, what is decided; only so much of them as the agreement reads."""
         for ip, node in self.nodes.items():
             if ip in self.frozen:
                 continue
-            hears = [peer for peer in node.peers if node.alive(peer, self.now)]
-            told = PeerBeat(
-                {key: ballot for key, (ballot, _value) in node.decided.items()},
+            heartbeats_received = [peer for peer in node.peers if node.is_alive(peer, self.now)]
+            reported = PeerHeartbeat(
+                {key: proposal_number for key, (proposal_number, _value) in node.committed.items()},
                 [],
                 {},
                 {},
-                hears,
+                heartbeats_received,
                 None,
                 0,
-                node.acceptor.learned,
-                configuration=node.acceptor.configuration,
+                node.acceptor.recovered,
+                quorum=node.acceptor.quorum,
                 voting=True,
             )
             for peer, other in self.nodes.items():
-                if peer != ip and peer not in self.frozen and (ip, peer) not in self.cut:
-                    other.peers[ip] = (self.now, told)
-                    other.known[ip] = self.now
+                if peer != ip and peer not in self.frozen and (ip, peer) not in self.partitioned:
+                    other.peers[ip] = PeerState(self.now, reported)
+                    other.known_at[ip] = self.now
                     for key, (
-                        ballot,
+                        proposal_number,
                         _value,
-                    ) in node.decided.items():  # as the registrar does on a beat
-                        if ballot > other.decided.get(key, ((0, "", 0),))[0]:
-                            self.post.append((ip, peer, Decided(key, ballot)))
+                    ) in node.committed.items():  # as the registrar does on a beat
+                        if proposal_number > other.committed.get(key, ((0, "", 0),))[0]:
+                            self.post.append((ip, peer, Committed(key, proposal_number)))
 
     def tick(self):
         """A little time goes by: clocks, then heartbeats now and then."""
         self.now += STEP_S
         self.steps += 1
         if int(self.now / BEAT_S) != int((self.now - STEP_S) / BEAT_S):
-            self.beat()
+            self.heartbeat()
         for ip, node in list(self.nodes.items()):
             if ip not in self.frozen:
-                node.tick_agreement(self.now)
+                node.tick_consensus(self.now)
         self.collect()
         self.check_orders()
 
@@ -287,24 +302,24 @@
                     self.collect()
             del self.post[:-200]
 
-    def whole(self):
+    def complete(self):
         """Whether nothing is lost at present: all nodes vote and are voters alike."""
         living = tuple(sorted(self.nodes))
         return (
             len(living) >= 3
             and not self.frozen
-            and not self.cut
+            and not self.partitioned
             and all(
-                node.votes
-                and not node.acceptor.configuration.old
-                and node.acceptor.configuration.new == living
+                node.is_voter
+                and not node.acceptor.quorum.old
+                and node.acceptor.quorum.new == living
                 for node in self.nodes.values()
             )
         )
 
     def heal(self):
         """Everything comes back; what was acknowledged is read back whole."""
-        self.cut.clear()
+        self.partitioned.clear()
         for ip in list(self.frozen):
             self.thaw(ip)
         for ip in self.disks:
@@ -312,7 +327,7 @@
                 self.start(ip)
         for _try in range(40):
             self.busy(20)
-            if self.whole():
+            if self.complete():
                 break
         for ip in sorted(self.nodes):
             self.read_back(ip)
@@ -320,16 +335,16 @@
     def read_back(self, ip):
         node = self.nodes[ip]
         for _try in range(8):
-            proposal = node.propose("blueprint", keep, self.now)
+            proposal = node.propose("blueprint", unchanged, self.now)
             while proposal.outcome is None:
                 self.busy(1)
-            if proposal.outcome.is_ok():
+            if proposal.outcome.succeeded:
                 break
         else:
             return
-        value = proposal.outcome.ok()[1]
+        value = proposal.outcome.register.value
         held = (
-            {ver for ver, _digest in decode(BlueprintValue, value).taken.entries}
+            {ver for ver, _digest in decode(ConfigurationValue, value).order_history.entries}
             if value
             else set()
         )
@@ -337,15 +352,15 @@
             raise Violation(
                 f"{sorted(set(self.acknowledged) - held)} were acknowledged and can't be read at {ip}"
             )
-        if (
-            self.acknowledged
-            and put_blueprint(self.acknowledged[-1], b'{"ver": %d}' % self.acknowledged[-1], 0)(
-                value
-            ).is_err()
-        ):
-            raise Violation(
-                f"{self.acknowledged[-1]} was acknowledged and is refused when sent again"
-            )
+        if self.acknowledged:
+            self.send_again(self.acknowledged[-1], value)
+
+    def send_again(self, ver, value):
+        """An acknowledged order that is sent again is acknowledged again."""
+        try:
+            put_configuration(ver, b'{"ver": %d}' % ver, 0)(value)
+        except SumacloomError:
+            raise Violation(f"{ver} was acknowledged and is refused when sent again") from None
 
     def fingerprint(self):
         """The state of all acceptors, to count how many different ones were met."""
@@ -353,10 +368,10 @@
             tuple(
                 (
                     ip,
-                    node.acceptor.learned,
-                    node.acceptor.configuration.generation,
-                    node.acceptor.floor,
-                    tuple(sorted(node.acceptor.slots.items())),
+                    node.acceptor.recovered,
+                    node.acceptor.quorum.version,
+                    node.acceptor.promised_floor,
+                    tuple(sorted(node.acceptor.registers.items())),
                 )
                 for ip, node in sorted(self.nodes.items())
             )
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -2,13 +2,13 @@
 
 import msgspec
 
-from sumacloom.configuration.model import decode_blueprint
+from sumacloom.configuration.model import decode_configuration
 from sumacloom.pooler import connection_loss, server_results, timers
-from sumacloom.pooler.core import Floor
+from sumacloom.pooler.core import PoolerCore
 from sumacloom.settings import Settings
-from sumacloom.transport.updates import Record
+from sumacloom.transport.updates import BackendRecord
 
-BLUEPRINT = {
+CONFIGURATION = {
     "ver": 1,
     "routes": [
         {
@@ -57,18 +57,21 @@
 class Stage:
     """A counter's floor at zone `a`; backends p (leads, zone a), q (zone a) and r (zone b)."""
 
-    def __init__(self, blueprint=None, **changes):
+    def __init__(self, configuration=None, **changes):
         self.now = 100.0
         self.settings = Settings(
             "edge-1", "counter", "10.0.0.1", "a", "north", zones={"a": "north", "b": "south"}
         )
-        self.floor = Floor(self.settings)
-        self.floor.yard.next_key = 1000  # wires apart from the clients 1, 2, 3
+        self.core = PoolerCore(self.settings)
+        self.core.pools.next_key = 1000  # wires apart from the clients 1, 2, 3
         self.sent: dict = {}
         self.shut, self.dialled = [], []
         self.seq = 0
-        self.floor.take_blueprint(
-            decode_blueprint(msgspec.json.encode({**(blueprint or BLUEPRINT), **changes})), self.now
+        self.core.apply_configuration(
+            decode_configuration(
+                msgspec.json.encode({**(configuration or CONFIGURATION), **changes})
+            ),
+            self.now,
         )
         self.records("p", role="primary")
         self.records("q")
@@ -78,11 +81,11 @@
         self.seq += 1
         fields = {"zone": "a", "slots": 4, "seq": self.seq, **fields}
         address = f"10.0.1.{ord(name)}:80"
-        self.floor.take_records([Record(name, "svc", address, **fields)], self.now)
+        self.core.apply_records([BackendRecord(name, "svc", address, **fields)], self.now)
         self.act()
 
     def act(self):
-        effects, self.floor.effects = self.floor.effects, []
+        effects, self.core.effects = self.core.effects, []
         for kind, *rest in effects:
             key = rest.pop(0) if rest else None
             if kind == "send":
@@ -91,30 +94,30 @@
                 self.shut.append(key)
             elif kind == "dial":
                 self.dialled.append(key)
-                wire = self.floor.wires[key]
-                self.sent.setdefault(key, []).append(wire.login("edge-1").decode().strip())
+                connection = self.core.connections[key]
+                self.sent.setdefault(key, []).append(connection.login("edge-1").decode().strip())
 
     def tick(self, seconds=0.05):
         """Lets time pass, with nothing to be read in it; after a standstill the counter looks twice."""
         self.thaw(seconds)
-        if self.floor.stood_still:
+        if self.core.stalled:
             self.thaw(0.0)
 
     def thaw(self, seconds):
         """The counter stood still for a while: time has passed without a look at the clock."""
         self.now += seconds
-        timers.tick(self.floor, self.now)
+        timers.tick(self.core, self.now)
         self.act()
 
     def say(self, key, *lines):
         """Lines of a client."""
-        self.floor.session_data(
+        self.core.session_data(
             key, "".join(line + "\r\n" for line in lines).encode("latin-1"), self.now
         )
         self.act()
 
     def client(self, key, database):
-        self.floor.session_opened(key, self.now)
+        self.core.session_opened(key, self.now)
         self.say(key, f"LOGIN {database} someone")
         assert self.take(key) == ["READY I -"]
         return key
@@ -123,32 +126,36 @@
         """What was sent to a session or wire since the last look."""
         return self.sent.pop(key, [])
 
-    def answer(self, wire, *lines):
+    def answer(self, connection, *lines):
         """Lines of a backend."""
-        server_results.wire_data(
-            self.floor,
-            wire.key,
+        server_results.receive_data(
+            self.core,
+            connection.key,
             "".join(line + "\r\n" for line in lines).encode("latin-1"),
             self.now,
         )
         self.act()
 
-    def lose(self, wire):
-        connection_loss.wire_lost(self.floor, wire, "cut", self.now)
+    def lose(self, connection):
+        connection_loss.connection_lost(self.core, connection, "cut", self.now)
         self.act()
 
-    def wires(self, name):
-        return [wire for wire in self.floor.wires.values() if wire.backend == name]
+    def connections(self, name):
+        return [
+            connection
+            for connection in self.core.connections.values()
+            if connection.backend == name
+        ]
 
     def warm(self, *names, position="1.10"):
         """Brings one wire up to each backend."""
         self.tick(1.0)
         for name in names or ("p", "q", "r"):
-            wire = self.wires(name)[0]
-            if not wire.open:
-                self.answer(wire, f"READY I {position}")
-            self.take(wire.key)
-        return [self.wires(name)[0] for name in names or ("p", "q", "r")]
+            connection = self.connections(name)[0]
+            if not connection.open:
+                self.answer(connection, f"READY I {position}")
+            self.take(connection.key)
+        return [self.connections(name)[0] for name in names or ("p", "q", "r")]
 
     def begun(self, lead, key=1, database="books"):
         """A client with a transaction of one write that has succeeded."""
@@ -159,7 +166,7 @@
         self.answer(lead, "DONE 7.0", "READY T 1.11")
         self.take(key), self.take(lead.key)
 
-    def anchor(self, wire, position="1.10"):
+    def anchor(self, connection, position="1.10"):
         """Answers the BEGIN and ABORT that seek an anchor."""
-        assert self.take(wire.key) == ["QUERY - BEGIN", "QUERY - ABORT"]
-        self.answer(wire, "DONE -", f"READY T {position}", "DONE -", f"READY I {position}")
+        assert self.take(connection.key) == ["QUERY - BEGIN", "QUERY - ABORT"]
+        self.answer(connection, "DONE -", f"READY T {position}", "DONE -", f"READY I {position}")
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -29,7 +29,7 @@
 ZONES = {"zone-a": "north", "zone-b": "middle", "zone-c": "south"}
 CTL, FE, READY, PLATFORM, BACKEND = 17100, 17101, 17102, 17103, 17104
 PORTS = (17110, 17125)
-BLUEPRINT = {
+CONFIGURATION = {
     "ver": 1,
     "routes": [
         {
@@ -73,7 +73,7 @@
         self.role, self.term = ("primary" if number == 1 else "replica"), 1
         self.log: list = []  # (term, thing, data)
         self.seq, self.dead, self.runs = 0, False, 0
-        self.wires: set = set()
+        self.connections: set = set()
 
     @property
     def position(self) -> str:
@@ -93,7 +93,7 @@
             await curio.spawn(self.talk, client, daemon=True)
 
     async def talk(self, sock):
-        self.wires.add(sock)
+        self.connections.add(sock)
         splitter, state = LineSplitter(), {"open": "", "writes": [], "names": {}, "in": False}
         try:
             async with sock:
@@ -106,7 +106,7 @@
         except OSError:
             pass
         finally:
-            self.wires.discard(sock)
+            self.connections.discard(sock)
 
     def answer(self, line, state):
         word, _blank, rest = line.partition(" ")
@@ -136,18 +136,18 @@
             verb = state["names"][name]
         if verb == "STAT":
             return [
-                f"ROW {self.role} {self.term} {self.position} 0 0 0 {len(self.wires)}",
+                f"ROW {self.role} {self.term} {self.position} 0 0 0 {len(self.connections)}",
                 "DONE -",
             ]
         if verb == "STEPDOWN":
             self.role, self.term = "replica", int(rest)
             return [
-                f"ROW {self.role} {self.term} {self.position} 0 0 0 {len(self.wires)}",
+                f"ROW {self.role} {self.term} {self.position} 0 0 0 {len(self.connections)}",
                 "DONE -",
             ]
         if verb in ("PAUSE", "CONT"):
             return [
-                f"ROW {self.role} {self.term} {self.position} 0 0 0 {len(self.wires)}",
+                f"ROW {self.role} {self.term} {self.position} 0 0 0 {len(self.connections)}",
                 "DONE -",
             ]
         if verb == "PREP":
@@ -186,7 +186,7 @@
             return [f"DONE {self.runs}.{self.name}"]
         return ["ERR MALFORMED no"]
 
-    async def beat(self):
+    async def heartbeat(self):
         while True:
             if not self.dead:
                 self.seq += 1
@@ -213,7 +213,7 @@
 
     async def die(self):
         self.dead = True
-        for sock in list(self.wires):
+        for sock in list(self.connections):
             sock._socket.shutdown(2)
 
 
@@ -236,7 +236,7 @@
         self.events[backend.name].clear()
 
     async def platform(self):
-        fence = [0]
+        fencing_token = [0]
 
         async def handler(request):
             if request.path != "/promote" or request.method != "POST":
@@ -250,9 +250,9 @@
                 ),
                 None,
             )
-            if number < fence[0] or target is None:
+            if number < fencing_token[0] or target is None:
                 return http.Reply(409)
-            fence[0] = number
+            fencing_token[0] = number
             await curio.sleep(0.2)
             top = max(backend.term for backend in self.backends) + 1
             for backend in self.backends:
@@ -265,22 +265,22 @@
         sock = listen("127.0.0.1", PLATFORM)
         while True:
             client, _address = await sock.accept()
-            await curio.spawn(http.serve_wire, client, handler, daemon=True)
+            await curio.spawn(http.serve_connection, client, handler, daemon=True)
 
     async def run(self):
         await curio.spawn(self.platform, daemon=True)
         for backend in self.backends:
             await curio.spawn(backend.serve, daemon=True)
-            await curio.spawn(backend.beat, daemon=True)
+            await curio.spawn(backend.heartbeat, daemon=True)
 
 
 def write_settings(folder: str, role: str, number: int) -> str:
-    """A settings file; registrars at 127.0.0.1 to .3, counters at 127.0.0.11 to .13."""
-    ip = f"127.0.0.{number if role == 'registrar' else 10 + number}"
+    """A settings file; controllers at 127.0.0.1 to .3, poolers at 127.0.0.11 to .13."""
+    ip = f"127.0.0.{number if role == 'controller' else 10 + number}"
     zone = f"zone-{'abc'[number - 1]}"
     listening = (
         f'ctl = "{ip}:{CTL}"'
-        if role == "registrar"
+        if role == "controller"
         else f'fe = "{ip}:{FE}"\nreadyz = "{ip}:{READY}"'
     )
     zones = "\n".join(f'{name} = "{region}"' for name, region in ZONES.items())
@@ -295,7 +295,7 @@
 portRange = [{PORTS[0]}, {PORTS[1]}]
 seeds = [{seeds}]
 bootstrap = true
-voting = {str(role == "registrar").lower()}
+voting = {str(role == "controller").lower()}
 datadir = "{folder}/data-{number}"
 beatMs = 1200
 [azs]
@@ -312,14 +312,14 @@
 def start(folder: str, role: str, number: int) -> subprocess.Popen:
     """Starts a real program; its log goes to a file beside its settings."""
     path = write_settings(folder, role, number)
-    log = open(path.replace(".toml", ".log"), "ab")
-    return subprocess.Popen(
-        [sys.executable, "-m", "sumacloom", role],
-        cwd=ROOT,
-        stderr=log,
-        stdout=log,
-        env={**os.environ, "SUMACLOOM_NODE_FILE": path},
-    )
+    with open(path.replace(".toml", ".log"), "ab") as log:
+        return subprocess.Popen(
+            [sys.executable, "-m", "sumacloom", role],
+            cwd=ROOT,
+            stderr=log,
+            stdout=log,
+            env={**os.environ, "SUMACLOOM_NODE_FILE": path},
+        )
 
 
 async def main(with_trial: bool, processes: dict[str, subprocess.Popen]) -> None:
@@ -329,7 +329,7 @@
     with tempfile.TemporaryDirectory() as folder:
         processes |= {
             f"{role}-{number}": start(folder, role, number)
-            for role, numbers in (("registrar", (1, 2, 3)), ("counter", (1, 2, 3)))
+            for role, numbers in (("controller", (1, 2, 3)), ("pooler", (1, 2, 3)))
             for number in numbers
         }
         try:
@@ -340,7 +340,7 @@
                 print("trial: all well")
                 return
             print(
-                f"registrars at 127.0.0.1 to .3, port {CTL}; counters at 127.0.0.11 to .13, port {FE}; logs in {folder}\n"
+                f"controllers at 127.0.0.1 to .3, port {CTL}; poolers at 127.0.0.11 to .13, port {FE}; logs in {folder}\n"
                 f"try: python3 -m sumacloom fleet status --at 127.0.0.1:{CTL}\nCtrl-C ends it",
                 flush=True,
             )
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -3,22 +3,26 @@
 import ipaddress
 import json
 from collections import Counter, defaultdict
+from types import SimpleNamespace
 
 import pytest
 
-from sumacloom.cli import access_commands as command
-from sumacloom.configuration.access_checks import MOST_BODY, check_access
-from sumacloom.configuration.access_list import Access
+from sumacloom.cli import access as command
+from sumacloom.configuration.access_checks import MAX_BODY_BYTES, parse_access_list
+from sumacloom.configuration.access_list import AccessList
+from sumacloom.consensus.codec import decode
 from sumacloom.controller.admin import access_calls
 from sumacloom.controller.policy import access, staged_rollout
-from sumacloom.controller.registers.values import decode, put_blueprint
+from sumacloom.controller.registers import ACCESS_KEY
+from sumacloom.controller.registers.configuration import put_configuration
 from sumacloom.http import Request
 from sumacloom.pooler import admission
-from sumacloom.transport.updates import AccessNews
+from sumacloom.transport.updates import AccessUpdate
 
+from .changes import apply_change, error_name, reply_of
 from .stage import Stage
 from .test_fleet import Stub, refusal, reply
-from .town import Client, Town, blueprint
+from .town import Client, SimulatedFleet, configuration
 
 NETWORKS = {
     "10.0.0.0/8": "north",
@@ -61,7 +65,7 @@
 
 @pytest.mark.parametrize(("rules", "database", "address", "rule", "allowed", "region"), VERDICTS)
 def test_verdicts(rules, database, address, rule, allowed, region):
-    found = Access(body(*rules)).verdict(database, address)
+    found = AccessList(body(*rules)).verdict(database, address)
     assert (found.rule, found.allowed, found.region) == (rule, allowed, region)
 
 
@@ -85,15 +89,14 @@
     (body({**HOME, "regions": ["mars"]}), "unknown_region"),
     (body(networks={"10.0.0.0/8": "unknown"}), "unknown_region"),
     (body(*[{**HOME, "name": f"r{n}"} for n in range(600)]), "invalid_access"),
-    (b" " * (MOST_BODY + 1), "too_large"),
+    (b" " * (MAX_BODY_BYTES + 1), "too_large"),
     (body(HOME, AWAY, OPEN), ""),
 ]
 
 
 @pytest.mark.parametrize(("raw", "name"), INVALID)
 def test_lists_are_checked(raw, name):
-    found = check_access(raw, {"north", "south"})
-    assert (found.err().name if found.is_err() else "") == name
+    assert error_name(parse_access_list, raw, {"north", "south"}) == name
 
 
 def offer(raw, base):
@@ -139,40 +142,38 @@
 def test_changes_of_the_list(changes, last, stage):
     value = None
     for change in changes:
-        result = change(value)
-        name = result.err().name if result.is_err() else "same" if result.ok() is None else "ok"
-        value = result.ok() if result.is_ok() and result.ok() is not None else value
+        name, value = apply_change(change, value)
     found = decode(access.AccessValue, value)
     assert name == last and (found and (found.order, found.current)) == stage
 
 
 # ---------------------------------------------------------------- one counter
-def enforced(stage, *rules, generation=1, lapsed=False):
+def enforced(stage, *rules, version=1, lapsed=False):
     admission.take_access(
-        stage.floor, AccessNews(generation * 2 + 1, generation, body(*rules)), lapsed, stage.now
+        stage.core, AccessUpdate(version * 2 + 1, version, body(*rules)), lapsed, stage.now
     )
     stage.act()
 
 
 def caller(stage, key, address, database="books"):
-    stage.floor.session_opened(key, stage.now, address)
+    stage.core.session_opened(key, stage.now, address)
     stage.say(key, f"LOGIN {database} someone")
     return stage.take(key)
 
 
 def test_a_stamp_that_came_while_a_reading_ran_is_not_confirmed_by_it():
-    town = Village(2)
-    town.run(2.0)
-    town.set_list("10.0.0.1", body(HOME), 0)
-    readings, stamps = town.land.offices["10.0.0.1"].readings, access.Stamps()
-    while readings.reading is None:
-        town.step()
-    began = readings.began_at
-    stamps.hear(1.0, began - 0.01)
-    stamps.hear(2.0, town.land.now + 0.001)
-    while readings.read_at < began:
-        town.step()
-    assert readings.read_at == began and stamps.confirmed(readings.read_at) == 1.0
+    fleet = Village(2)
+    fleet.run(2.0)
+    fleet.set_list("10.0.0.1", body(HOME), 0)
+    rollout, stamps = fleet.cluster.cores["10.0.0.1"].access, access.StampQueue()
+    while rollout._read is None:
+        fleet.step()
+    began = rollout._read_started_at
+    stamps.receive(1.0, began - 0.01)
+    stamps.receive(2.0, fleet.cluster.now + 0.001)
+    while rollout.read_at < began:
+        fleet.step()
+    assert rollout.read_at == began and stamps.confirmed_by(rollout.read_at) == 1.0
 
 
 def counts(stage):
@@ -181,7 +182,7 @@
             row[name]
             for name in ("logins_allowed", "logins_denied", "requests_allowed", "requests_denied")
         ]
-        for row in stage.floor.gate.rows("edge-1")
+        for row in stage.core.access_control.rows("edge-1")
     }
 
 
@@ -212,7 +213,7 @@
     stage.answer(lead, "DONE 7.1", "READY T 1.11")
     stage.say(3, "QUERY 3 SET a b", "QUERY 4 BEGIN")  # begun, nothing run yet
     stage.take(1), stage.take(3), stage.take(lead.key)
-    enforced(stage, {**AWAY, "regions": ["north"]}, generation=2)
+    enforced(stage, {**AWAY, "regions": ["north"]}, version=2)
     assert stage.shut == [2]
     stage.say(1, "QUERY 5 COMMIT")
     assert stage.take(lead.key) == ["QUERY 5 COMMIT"]
@@ -224,7 +225,7 @@
         ["ERR", "DENIED"],
         ["READY", "I"],
     ] * 2
-    enforced(stage, {**AWAY, "regions": ["north"]}, generation=2)  # the next tick closes it
+    enforced(stage, {**AWAY, "regions": ["north"]}, version=2)  # the next tick closes it
     assert 1 in stage.shut and 3 not in stage.shut
     assert counts(stage) == {"home": [3, 0, 2, 0], "away": [0, 0, 0, 2], "default": [0, 0, 0, 0]}
 
@@ -233,7 +234,7 @@
     stage = Stage()
     lead, _q, _r = stage.warm()
     enforced(stage, HOME)
-    stage.begun_at = caller(stage, 1, "10.1.0.1")
+    stage.round_started_at = caller(stage, 1, "10.1.0.1")
     enforced(stage, HOME, lapsed=True)
     stage.say(1, "QUERY 1 PUT a b")
     assert stage.take(1)[0].startswith("ERR BUSY not run") and stage.take(lead.key) == []
@@ -243,12 +244,12 @@
 
 def test_counts_are_kept_for_the_list_in_force_and_the_one_before():
     stage = Stage()
-    for generation in (1, 2, 3):
-        enforced(stage, HOME, generation=generation)
-        caller(stage, generation, "10.1.0.1")
-    assert {row["generation"] for row in stage.floor.gate.rows("edge-1")} == {2, 3}
-    enforced(stage, AWAY, generation=2)  # news never moves back
-    assert stage.floor.gate.access.generation == 3
+    for version in (1, 2, 3):
+        enforced(stage, HOME, version=version)
+        caller(stage, version, "10.1.0.1")
+    assert {row["generation"] for row in stage.core.access_control.rows("edge-1")} == {2, 3}
+    enforced(stage, AWAY, version=2)  # news never moves back
+    assert stage.core.access_control.access.version == 3
 
 
 # ---------------------------------------------------------------- a whole fleet
@@ -274,24 +275,24 @@
 class Caller(Client):
     """A client at an address; keeps what it sent, by node, list and rule."""
 
-    def __init__(self, town, number, database):
-        super().__init__(town, number, database)
+    def __init__(self, fleet, number, database):
+        super().__init__(fleet, number, database)
         self.address = list(ADDRESSES)[number % 3]
         self.awaits, self.wrong = None, []
 
     def say(self, now, line):
-        floor = self.desk.floor
+        core = self.pooler.core
         verb = line.split(" ")[0 if line.startswith("LOGIN") else 2]
         judged = verb in ("LOGIN", "BEGIN") or (verb == "PUT" and len(self.lines) == 1)
-        if judged and floor.gate.access and not floor.gate.lapsed:
-            held = floor.gate.access
+        if judged and core.access_control.access and not core.access_control.lapsed:
+            held = core.access_control.access
             rule, allowed = expected_of(held.body, self.database, self.address)
             place = (verb != "LOGIN") * 2 + (not allowed)
-            self.town.sent[self.desk.node, held.generation, rule][place] += 1
-            before = len(self.desk.floor.effects)
+            self.fleet.sent[self.pooler.node, held.version, rule][place] += 1
+            before = len(self.pooler.core.effects)
             super().say(now, line)
             said = [
-                effect[2] for effect in floor.effects[before:] if effect[:2] == ("send", self.key)
+                effect[2] for effect in core.effects[before:] if effect[:2] == ("send", self.key)
             ]
             if any(text.startswith(b"ERR DENIED") for text in said) == allowed:
                 self.wrong.append((line, rule, allowed, said))
@@ -299,33 +300,33 @@
             super().say(now, line)
 
 
-class Village(Town):
+class Village(SimulatedFleet):
     """A town of callers, which checks at each step that nobody serves by a list that is no longer in force."""
 
     def __init__(self, seed):
-        super().__init__(seed, desks=5, clients=0, databases=("books", "search"))
+        super().__init__(seed, poolers=5, clients=0, databases=("books", "search"))
         self.sent = defaultdict(lambda: [0, 0, 0, 0])
         self.clients = [
             Caller(self, number, ("books", "search")[number % 2]) for number in range(1, 13)
         ]
         self.rows, self.unguarded = [], []
 
-    def kill_desk(self, desk):
-        self.rows += desk.floor.gate.rows(desk.node)
-        super().kill_desk(desk)
+    def kill_pooler(self, pooler):
+        self.rows += pooler.core.access_control.rows(pooler.node)
+        super().kill_pooler(pooler)
 
     def step(self):
         super().step()
-        forced = max((one.board.access.order for one in self.land.offices.values()), default=0)
+        forced = max((one.cache.access.order for one in self.cluster.cores.values()), default=0)
         forced -= not forced % 2  # the newest in force anywhere
         self.unguarded += [
-            (self.land.now, desk.node, desk.board.access.order, forced)
-            for desk in self.desks
-            if forced > 1 and desk.floor.ready and desk.board.access.order < forced - 1
+            (self.cluster.now, pooler.node, pooler.cache.access.order, forced)
+            for pooler in self.poolers
+            if forced > 1 and pooler.core.ready and pooler.cache.access.order < forced - 1
         ]
 
     def set_list(self, ip, raw, base):
-        assert self.decide(ip, access.KEY, offer(raw, base)).is_ok()
+        assert self.decide(ip, ACCESS_KEY, offer(raw, base)).succeeded
 
     def barred(self):
         """What was written by clients whom no list lets reach their database."""
@@ -340,46 +341,55 @@
 
     def in_force(self):
         return {
-            desk.node: desk.floor.gate.access and desk.floor.gate.access.generation
-            for desk in self.desks
+            pooler.node: pooler.core.access_control.access
+            and pooler.core.access_control.access.version
+            for pooler in self.poolers
         }
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_counts_agree_with_what_was_sent_while_the_list_changes_and_nodes_come_and_go(seed):
-    town = Village(seed)
-    town.decide(
-        "10.0.0.1", "blueprint", put_blueprint(4, blueprint(4, databases=("books", "search")), 0)
+    fleet = Village(seed)
+    fleet.decide(
+        "10.0.0.1",
+        "blueprint",
+        put_configuration(4, configuration(4, databases=("books", "search")), 0),
     )
-    town.run(2.0)
-    town.set_list("10.0.0.1", body(HOME, OPEN), 0)
-    town.run(6.0)
-    assert set(town.in_force().values()) == {1}
-    barred = town.barred()  # written before there was a list
-    town.set_list("10.0.0.2", body(AWAY, HOME, OPEN), 1)
-    town.run(town.random.uniform(0.1, 2.0))
-    town.split(True)  # the south hears no majority, mid-offer or mid-force
-    holder = town.land.offices["10.0.0.1"].duty.holder
+    fleet.run(2.0)
+    fleet.set_list("10.0.0.1", body(HOME, OPEN), 0)
+    fleet.run(6.0)
+    assert set(fleet.in_force().values()) == {1}
+    barred = fleet.barred()  # written before there was a list
+    fleet.set_list("10.0.0.2", body(AWAY, HOME, OPEN), 1)
+    fleet.run(fleet.random.uniform(0.1, 2.0))
+    fleet.split(True)  # the south hears no majority, mid-offer or mid-force
+    holder = fleet.cluster.cores["10.0.0.1"].failover_lease.value.holder
     if holder != "10.0.0.3":  # the duty's holder is lost with the offer open
-        town.land.kill(holder)
-    town.run(town.random.uniform(0.5, 2.0))
+        fleet.cluster.kill(holder)
+    fleet.run(fleet.random.uniform(0.5, 2.0))
     if holder != "10.0.0.3":
-        town.land.start(holder)
-    town.kill_desk(town.random.choice(town.desks))
-    town.start_desk("south"), town.start_desk("north")
-    town.run(9.0)
-    south = [desk for desk in town.desks if desk.region == "south"]
-    assert south and not any(desk.floor.ready for desk in south)
-    assert {desk.floor.gate.access.generation for desk in town.desks if desk.region == "north"} == {
-        2
-    }
-    town.split(False)
-    town.run(3.0)
-    assert set(town.in_force().values()) == {2} and all(desk.floor.ready for desk in town.desks)
-    town.end()
-    assert not town.unguarded and not [client.wrong for client in town.clients if client.wrong]
-    rows = town.rows + [row for desk in town.desks for row in desk.floor.gate.rows(desk.node)]
-    told = {
+        fleet.cluster.start(holder)
+    fleet.kill_pooler(fleet.random.choice(fleet.poolers))
+    fleet.start_pooler("south"), fleet.start_pooler("north")
+    fleet.run(9.0)
+    south = [pooler for pooler in fleet.poolers if pooler.region == "south"]
+    assert south and not any(pooler.core.ready for pooler in south)
+    assert {
+        pooler.core.access_control.access.version
+        for pooler in fleet.poolers
+        if pooler.region == "north"
+    } == {2}
+    fleet.split(False)
+    fleet.run(3.0)
+    assert set(fleet.in_force().values()) == {2} and all(
+        pooler.core.ready for pooler in fleet.poolers
+    )
+    fleet.end()
+    assert not fleet.unguarded and not [client.wrong for client in fleet.clients if client.wrong]
+    rows = fleet.rows + [
+        row for pooler in fleet.poolers for row in pooler.core.access_control.rows(pooler.node)
+    ]
+    reported = {
         (row["node"], row["generation"], row["rule"]): [
             row["logins_allowed"],
             row["logins_denied"],
@@ -388,10 +398,10 @@
         ]
         for row in rows
     }
-    assert {key: found for key, found in told.items() if any(found)} == dict(town.sent)
+    assert {key: found for key, found in reported.items() if any(found)} == dict(fleet.sent)
     written, acked = (
-        Counter(town.written()),
-        [token for client in town.clients for token in client.acked],
+        Counter(fleet.written()),
+        [token for client in fleet.clients for token in client.acked],
     )
     assert (
         len(acked) > 50
@@ -400,23 +410,25 @@
     )
     assert (
         barred
-        and town.barred() == barred
-        and sum(found[1] + found[3] for found in told.values()) > 20
+        and fleet.barred() == barred
+        and sum(found[1] + found[3] for found in reported.values()) > 20
     )
 
 
 @pytest.mark.parametrize("used", [False, True])
 def test_with_no_list_ever_set_a_cut_off_counter_serves_on(used):
-    town = Village(3)
-    town.decide(
-        "10.0.0.1", "blueprint", put_blueprint(4, blueprint(4, databases=("books", "search")), 0)
+    fleet = Village(3)
+    fleet.decide(
+        "10.0.0.1",
+        "blueprint",
+        put_configuration(4, configuration(4, databases=("books", "search")), 0),
     )
     if used:
-        town.set_list("10.0.0.1", body(HOME, OPEN), 0)
-    town.run(6.0)
-    town.split(True)
-    town.run(5.0)
-    assert {desk.floor.ready for desk in town.desks if desk.region == "south"} == {not used}
+        fleet.set_list("10.0.0.1", body(HOME, OPEN), 0)
+    fleet.run(6.0)
+    fleet.split(True)
+    fleet.run(5.0)
+    assert {pooler.core.ready for pooler in fleet.poolers if pooler.region == "south"} == {not used}
 
 
 # ---------------------------------------------------------------- the command
@@ -446,28 +458,24 @@
 ]
 
 
-@pytest.mark.parametrize(("replies", "code", "told"), COMMANDS)
+@pytest.mark.parametrize(("replies", "code", "reported"), COMMANDS)
 def test_the_command_waits_for_every_counter_and_names_who_is_missing(
-    tmp_path, replies, code, told, capsys
+    tmp_path, replies, code, reported, capsys
 ):
     file = tmp_path / "access.json"
     file.write_bytes(body(HOME))
     assert command.set_list(str(file), base=1, at=Stub(*replies).address, wait=0.0) == code
-    assert told in capsys.readouterr().err
+    assert reported in capsys.readouterr().err
 
 
 def test_a_call_with_a_bad_base_or_address_changes_nothing():
     import curio
 
-    town = Village(1)
-    town.run(2.0)
-    shell = type(
-        "Shell",
-        (),
-        {
-            "office": town.land.offices["10.0.0.1"],
-            "settings": type("S", (), {"zones": {"a": "north", "b": "south"}}),
-        },
+    fleet = Village(1)
+    fleet.run(2.0)
+    process = SimpleNamespace(
+        core=fleet.cluster.cores["10.0.0.1"],
+        settings=SimpleNamespace(zones={"a": "north", "b": "south"}),
     )
     for call, request, status in [
         (access_calls.put_access, Request("PUT", "/api/admin/access", {}, body(HOME)), 428),
@@ -483,5 +491,5 @@
             404,
         ),
     ]:
-        assert curio.run(call, shell, request).status == status
-    assert access.KEY not in shell.office.decided
+        assert curio.run(reply_of, call, process, request).status == status
+    assert ACCESS_KEY not in process.core.committed
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -4,13 +4,13 @@
 import pytest
 
 from sumacloom.pooler import completion, delivery
-from sumacloom.pooler.membership import QUIET_S, Member
-from sumacloom.pooler.server_connection import Wire
-from sumacloom.pooler.server_pools import Yard
+from sumacloom.pooler.membership import QUIET_S, ControllerSession
+from sumacloom.pooler.server_connection import ServerConnection
+from sumacloom.pooler.server_pools import ServerPools
 from sumacloom.settings import Settings
 from sumacloom.transport.link import Link
-from sumacloom.transport.messages import Held, RegistrarBeat, frame
-from sumacloom.transport.updates import Digest
+from sumacloom.transport.messages import ControllerHeartbeat, IntentStored, encode_frame
+from sumacloom.transport.updates import UpdateDigest
 
 from .stage import Stage
 
@@ -42,11 +42,11 @@
 
 @pytest.mark.parametrize(("tag", "text", "before", "odd"), ODD)
 def test_a_line_out_of_turn_ends_the_wire(tag, text, before, odd):
-    wire = Wire(1, "p", "svc", 0.0)
-    wire.ask(tag, "5" if tag == "run" else "-", text, 0.0)
-    good = wire.feed("".join(f"{line}\r\n" for line in before).encode())
-    assert not wire.lost
-    assert wire.feed(f"{odd}\r\n".encode()) == [] and wire.lost
+    connection = ServerConnection(1, "p", "svc", 0.0)
+    connection.ask(tag, "5" if tag == "run" else "-", text, 0.0)
+    good = connection.feed("".join(f"{line}\r\n" for line in before).encode())
+    assert not connection.lost
+    assert connection.feed(f"{odd}\r\n".encode()) == [] and connection.lost
     assert len(good) == (before[-1:] == ["READY I 1.1"])
 
 
@@ -56,9 +56,9 @@
 def test_a_login_is_answered_by_ready_or_err_only(line):
     stage = Stage()
     stage.tick(1.0)
-    wire = stage.wires("p")[0]
-    stage.answer(wire, line)
-    assert wire.key in stage.shut and not wire.open
+    connection = stage.connections("p")[0]
+    stage.answer(connection, line)
+    assert connection.key in stage.shut and not connection.open
 
 
 def test_an_answer_out_of_turn_ends_the_wire_with_one_line_in_the_log(caplog):
@@ -95,8 +95,8 @@
 ]
 
 
-@pytest.mark.parametrize(("texts", "answers", "odd", "told", "at_commit"), DOUBTS)
-def test_who_hears_what_when_the_answer_does_not_fit(texts, answers, odd, told, at_commit):
+@pytest.mark.parametrize(("texts", "answers", "odd", "reported", "at_commit"), DOUBTS)
+def test_who_hears_what_when_the_answer_does_not_fit(texts, answers, odd, reported, at_commit):
     stage = Stage()
     lead, *_others = stage.warm()
     stage.client(1, "books")
@@ -110,7 +110,7 @@
     stage.answer(lead, *odd)
     if odd[-1].startswith("DONE"):
         stage.lose(lead)  # it breaks off there
-    assert stage.take(1)[0].startswith(told) and lead.key in stage.shut
+    assert stage.take(1)[0].startswith(reported) and lead.key in stage.shut
     if at_commit:
         stage.say(1, "QUERY 9 COMMIT")
         assert stage.take(1)[0].startswith(at_commit)
@@ -159,14 +159,14 @@
     stage.client(1, "books")
     if lines:
         stage.say(1, *lines)
-    completion.session_ended(stage.floor, 1, stage.now)
+    completion.session_ended(stage.core, 1, stage.now)
     stage.act()
     assert (1 in stage.shut) == (not lines)
     if answer:
         stage.answer(lead, *answer)
     elif lines:
         stage.lose(lead)
-    assert stage.take(1) == read and stage.shut.count(1) == 1 and 1 not in stage.floor.sessions
+    assert stage.take(1) == read and stage.shut.count(1) == 1 and 1 not in stage.core.sessions
 
 
 def test_a_client_that_sends_no_more_gets_all_it_asked_and_its_wire_is_free_again():
@@ -174,7 +174,7 @@
     lead, *_others = stage.warm()
     stage.client(1, "books")
     stage.say(1, "QUERY 1 BEGIN", "QUERY 2 PUT a b", "QUERY 3 COMMIT")
-    completion.session_ended(stage.floor, 1, stage.now)
+    completion.session_ended(stage.core, 1, stage.now)
     for lines in (
         ["DONE -", "READY T 1.1"],
         ["DONE 7.1", "READY T 1.1"],
@@ -182,29 +182,30 @@
     ):
         stage.answer(lead, *lines)
     assert stage.take(1)[-2:] == ["DONE 7.2", "READY I 1.2"] and 1 in stage.shut
-    assert lead in stage.floor.yard.backends["p"].idle
+    assert lead in stage.core.pools.backends["p"].idle
 
 
 @pytest.mark.parametrize(
-    ("ends", "told"), [(True, ["ERR BUSY not run; come back in 200 ms", "READY I -"]), (False, [])]
+    ("ends", "reported"),
+    [(True, ["ERR BUSY not run; come back in 200 ms", "READY I -"]), (False, [])],
 )
-def test_a_session_that_ends_while_its_statement_waits_leaves_nothing_behind(ends, told):
+def test_a_session_that_ends_while_its_statement_waits_leaves_nothing_behind(ends, reported):
     stage = Stage()
     stage.client(1, "books")
     stage.say(1, "QUERY 5 PUT a b")
     if ends:
-        completion.session_ended(stage.floor, 1, stage.now)
+        completion.session_ended(stage.core, 1, stage.now)
     else:
-        stage.floor.session_closed(1, stage.now)
+        stage.core.session_closed(1, stage.now)
     stage.act()
-    assert stage.take(1) == told
-    wire = stage.wires("p")[0]
-    stage.take(wire.key)
-    stage.answer(wire, "READY I 1.1")
+    assert stage.take(1) == reported
+    connection = stage.connections("p")[0]
+    stage.take(connection.key)
+    stage.answer(connection, "READY I 1.1")
     assert (
-        stage.take(wire.key) == []
-        and wire in stage.floor.yard.backends["p"].idle
-        and not stage.floor.active
+        stage.take(connection.key) == []
+        and connection in stage.core.pools.backends["p"].idle
+        and not stage.core.active
     )
 
 
@@ -214,11 +215,11 @@
     stage.begun(lead)
     stage.say(1, "QUERY 3 COMMIT")
     stage.take(lead.key)
-    stage.floor.session_closed(1, stage.now)
+    stage.core.session_closed(1, stage.now)
     stage.act()
-    assert lead not in stage.floor.yard.backends["p"].idle and stage.take(lead.key) == []
+    assert lead not in stage.core.pools.backends["p"].idle and stage.take(lead.key) == []
     stage.answer(lead, "DONE 7.2", "READY I 1.2")
-    assert lead in stage.floor.yard.backends["p"].idle and stage.take(1) == []
+    assert lead in stage.core.pools.backends["p"].idle and stage.take(1) == []
 
 
 def test_a_second_answer_that_comes_after_the_next_statement_was_sent_is_not_taken_for_its_answer():
@@ -244,8 +245,8 @@
 ]
 
 
-@pytest.mark.parametrize(("lines", "unread", "told"), STILL)
-def test_after_a_standstill_what_lies_unread_is_read_before_a_timer_judges(lines, unread, told):
+@pytest.mark.parametrize(("lines", "unread", "reported"), STILL)
+def test_after_a_standstill_what_lies_unread_is_read_before_a_timer_judges(lines, unread, reported):
     stage = Stage()
     lead, *_others = stage.warm()
     stage.client(1, "books")
@@ -255,7 +256,7 @@
     assert lead.key not in stage.shut and stage.take(1) == []
     stage.answer(lead, *unread)
     stage.tick()
-    assert lead.key not in stage.shut and (told is None or stage.take(1)[0] == told)
+    assert lead.key not in stage.shut and (reported is None or stage.take(1)[0] == reported)
 
 
 def test_a_machine_that_is_always_slow_still_comes_to_its_timers():
@@ -286,7 +287,7 @@
     stage = Stage()
     lead, *_others = stage.warm()
     stage.begun(lead)
-    stage.floor.yard.take_evacuations(["a"], stage.now)
+    stage.core.pools.apply_zone_drains(["a"], stage.now)
     stage.now += stage.settings.bounds.evac_ms / 1000 * 0.6
     stage.say(1, "QUERY 3 PUT c d")
     assert stage.take(lead.key) == ["QUERY - ABORT"] and stage.take(1)[0].startswith(
@@ -298,7 +299,7 @@
     stage = Stage()
     lead, *_others = stage.warm()
     stage.client(1, "books")
-    stage.floor.yard.take_evacuations(["a"], stage.now)
+    stage.core.pools.apply_zone_drains(["a"], stage.now)
     stage.now += stage.settings.bounds.evac_ms / 1000 * 0.6 - 0.01
     stage.say(1, "QUERY 1 SET tz cairo", "QUERY 2 PUT a b")
     stage.take(lead.key)
@@ -314,16 +315,20 @@
 def test_a_word_for_an_earlier_life_does_not_use_up_the_present_ones():
     stage = Stage()
     lead, *_others = stage.warm()
-    stage.floor.spooling.listen(["books"], False)
+    stage.core.delivery.listen(["books"], False)
     stage.client(1, "books")
-    stage.floor.session_data(1, b"QUERY 5 PUT a b\r\n", stage.now)
-    intent = next(effect[1] for effect in stage.floor.effects if effect[0] == "spool")
-    stage.floor.effects = [effect for effect in stage.floor.effects if effect[0] != "spool"]
+    stage.core.session_data(1, b"QUERY 5 PUT a b\r\n", stage.now)
+    intent = next(effect[1] for effect in stage.core.effects if effect[0] == "spool")
+    stage.core.effects = [effect for effect in stage.core.effects if effect[0] != "spool"]
     stage.act()
-    delivery.intent_held(stage.floor, Held(intent.life + 1, intent.number, "books"), stage.now)
+    delivery.handle_intent_stored(
+        stage.core, IntentStored(intent.incarnation + 1, intent.number, "books"), stage.now
+    )
     stage.act()
     assert stage.take(lead.key) == []
-    delivery.intent_held(stage.floor, Held(intent.life, intent.number, "books"), stage.now)
+    delivery.handle_intent_stored(
+        stage.core, IntentStored(intent.incarnation, intent.number, "books"), stage.now
+    )
     stage.act()
     assert stage.take(lead.key) == ["QUERY 5 PUT a b"]
 
@@ -337,18 +342,18 @@
     assert stage.take(1)[0].startswith("ERR TIMEDOUT")
     stage.say(1, "QUERY 6 PUT c d")
     stage.answer(lead, "DONE 7.1", "READY I 1.1")
-    assert stage.take(1) == [] and lead not in stage.floor.yard.backends["p"].idle
+    assert stage.take(1) == [] and lead not in stage.core.pools.backends["p"].idle
 
 
 def test_a_wire_to_a_reused_address_is_refused_and_nothing_is_sent_on_it():
     stage = Stage()
     stage.tick(1.0)
-    wire = stage.wires("p")[0]
-    assert stage.take(wire.key) == ["LOGIN svc edge-1 p"]
+    connection = stage.connections("p")[0]
+    assert stage.take(connection.key) == ["LOGIN svc edge-1 p"]
     stage.client(1, "books")
     stage.say(1, "QUERY 5 PUT a b")
-    stage.answer(wire, "ERR WRONGHOST other")
-    assert wire.key in stage.shut and stage.take(wire.key) == []
+    stage.answer(connection, "ERR WRONGHOST other")
+    assert connection.key in stage.shut and stage.take(connection.key) == []
 
 
 # ---------------------------------------------------------------- links between daemons
@@ -372,23 +377,23 @@
         pass
 
 
-def beat(settled=True):
-    return RegistrarBeat(Digest(), 1, "", [], settled=settled)
+def heartbeat(in_quorum=True):
+    return ControllerHeartbeat(UpdateDigest(), 1, "", [], in_quorum=in_quorum)
 
 
 def member(clock):
     settings = Settings("edge-1", "counter", "10.0.0.1", "a")
-    return Member(settings, clock, None, Yard(settings), [], dict)
+    return ControllerSession(settings, clock, None, ServerPools(settings), [], dict)
 
 
 def test_a_link_that_we_ended_yields_nothing_more():
-    link = Link(Sock([frame(beat()) + frame(beat())]))
+    link = Link(Sock([encode_frame(heartbeat()) + encode_frame(heartbeat())]))
 
     async def read():
         taken = []
         async for message in link.messages():
             taken.append(message)
-            link.end()
+            link.abort()
         return taken
 
     assert len(curio.run(read)) == 1
@@ -398,7 +403,7 @@
 def test_after_a_standstill_a_registrars_old_word_makes_nobody_sure(looks_first):
     now = [100.0]
     one = member(lambda: now[0])
-    link = Link(Sock([frame(beat())]))
+    link = Link(Sock([encode_frame(heartbeat())]))
 
     async def opened(_address):
         return link
@@ -409,7 +414,7 @@
             one.look(now[0])
 
     async def run():
-        one.open, one.registrars = opened, ["10.0.0.9:1"]
+        one.open, one.controllers = opened, ["10.0.0.9:1"]
         one.look(now[0])
         one.measure = lambda: curio.sleep(0)
         task = await curio.spawn(one.attach)
@@ -425,7 +430,7 @@
         await task.cancel()
 
     curio.run(run)
-    assert now[0] > 100.0 and not one.sure  # it came to the standstill
+    assert now[0] > 100.0 and not one.is_current  # it came to the standstill
 
 
 def test_a_parent_named_before_the_present_one_is_not_kept():
@@ -443,7 +448,7 @@
         await curio.sleep(0)
         await one.follow("10.0.0.9:1")
         await curio.sleep(0.03)
-        return one.parent is links["10.0.0.8:1"] or links["10.0.0.8:1"].outlet.closed
+        return one.parent is links["10.0.0.8:1"] or links["10.0.0.8:1"].send_buffer.closed
 
     assert curio.run(run) is True
-    assert links["10.0.0.8:1"].outlet.closed
+    assert links["10.0.0.8:1"].send_buffer.closed
--- a/tests/test_calls_model.py
+++ b/tests/test_calls_model.py
@@ -10,11 +10,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from sumacloom.configuration.model import decode_blueprint
+from sumacloom.configuration.model import decode_configuration
 from sumacloom.pooler import completion, timers
 
 from .calls_world import Client, World
-from .stage import BLUEPRINT
+from .stage import CONFIGURATION
 
 PLACES = st.integers(0, 30)
 SELDOM = st.integers(0, 11).map(lambda drawn: drawn == 11)
@@ -111,9 +111,9 @@
         if place < 8 and keys:
             key = keys[place % len(keys)]
             if ends:
-                completion.session_ended(self.world.floor, key, self.world.now)
+                completion.session_ended(self.world.core, key, self.world.now)
             else:
-                self.world.floor.session_closed(key, self.world.now)
+                self.world.core.session_closed(key, self.world.now)
                 self.world.clients.pop(key)
             self.world.act()
 
@@ -162,12 +162,12 @@
         for conn in [conn for conn in self.world.conns.values() if conn.name == name]:
             self.world.reset(conn)
 
-    @rule(name=st.sampled_from("pqr"), told=st.sampled_from([True, True, False]), seldom=SELDOM)
-    def lead_moves(self, name, told, seldom):
+    @rule(name=st.sampled_from("pqr"), reported=st.sampled_from([True, True, False]), seldom=SELDOM)
+    def lead_moves(self, name, reported, seldom):
         world = self.world
         name = name if seldom else world.lead
         world.lead, world.term = name, world.term + (name != world.lead)
-        if told:
+        if reported:
             for one in "pqr":
                 world.records(
                     one,
@@ -196,26 +196,30 @@
             [{"tmoMs": 300}, {"tmoMs": 1000}, {"kind": "stale_ok", "maxStaleMs": 900}]
         )
     )
-    def configuration(self, change):
+    def quorum(self, change):
         routes = [
             {**route, **(change if route["host"] == "books" else {})}
-            for route in BLUEPRINT["routes"]
+            for route in CONFIGURATION["routes"]
         ]
-        blueprint = {**BLUEPRINT, "routes": routes, "ver": self.world.floor.blueprint.ver + 1}
-        self.world.floor.take_blueprint(
-            decode_blueprint(msgspec.json.encode(blueprint)), self.world.now
+        configuration = {
+            **CONFIGURATION,
+            "routes": routes,
+            "ver": self.world.core.configuration.ver + 1,
+        }
+        self.world.core.apply_configuration(
+            decode_configuration(msgspec.json.encode(configuration)), self.world.now
         )
         self.world.act()
 
     @rule(zones=st.sampled_from([["a"], ["b"]]), seldom=SELDOM)
     def evacuation(self, zones, seldom):
-        self.world.floor.yard.take_evacuations(zones if seldom else [], self.world.now)
+        self.world.core.pools.apply_zone_drains(zones if seldom else [], self.world.now)
 
     @precondition(lambda self: self.keys > 6)
     @rule(seldom=SELDOM)
     def sigterm(self, seldom):
         if seldom:
-            timers.sigterm(self.world.floor, self.world.now)
+            timers.sigterm(self.world.core, self.world.now)
 
     # -------------------------------------------------------- what must always hold
     @invariant()
@@ -230,10 +234,13 @@
                 "an acknowledged write is not there"
             )
             assert one.single or len(one.conns) <= 1, "one transaction on two wires"
-        for backend in self.world.floor.yard.backends.values():
+        for backend in self.world.core.pools.backends.values():
             assert not any(
-                wire.expected or wire.owner or wire.state != "I" or wire.lost
-                for wire in backend.idle
+                connection.expected
+                or connection.owner
+                or connection.state != "I"
+                or connection.lost
+                for connection in backend.idle
             )
 
     def teardown(self):
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -11,25 +11,25 @@
     out = tmp_path / "figures.json"
     assert measure.main(small=True, out=str(out)) == 0
     found = json.loads(out.read_text())
-    assert [run["counters"] for run in found["runs"]] == [6, 12, 6, 6]
+    assert [run["poolers"] for run in found["runs"]] == [6, 12, 6, 6]
     for run in found["runs"]:
         quiet = run["quiet"]
         assert (
-            quiet["registrars"]["messages_out"] > 0
-            and quiet["counters"]["bytes_in"] > 0
+            quiet["controllers"]["messages_out"] > 0
+            and quiet["poolers"]["bytes_in"] > 0
             and run["change"]["last_s"] < 6
         )
-    assert found["slopes"]["counters"]["counters bytes_in"]["slope"] > 0
+    assert found["slopes"]["poolers"]["poolers bytes_in"]["slope"] > 0
     assert all(
-        run["statements"] > 10 and run["cpu_s"] < run["seconds"] for run in found["counter"]["runs"]
+        run["statements"] > 10 and run["cpu_s"] < run["seconds"] for run in found["pooler"]["runs"]
     )
     assert "4 fleets" in capsys.readouterr().out
 
 
 REFUSED = [
-    ({"counters": [0]}, "counters"),
-    ({"counters": [-5]}, "counters"),
-    ({"counters": [50, 4000]}, "counters"),
+    ({"poolers": [0]}, "poolers"),
+    ({"poolers": [-5]}, "poolers"),
+    ({"poolers": [50, 4000]}, "poolers"),
     ({"backends": []}, "backends"),
     ({"routes": [10**6]}, "routes"),
     ({"sessions": [0]}, "sessions"),
@@ -44,8 +44,8 @@
 ):
     monkeypatch.setattr(measure, "one", lambda *_size: pytest.fail("it started"))
     assert measure.main(**changes) == measure.USAGE
-    told = capsys.readouterr().err
-    assert told.count("\n") == 1 and named in told and "code 1500" in told
+    reported = capsys.readouterr().err
+    assert reported.count("\n") == 1 and named in reported and "code 1500" in reported
 
 
 def test_a_machine_too_small_for_the_counts_is_named(monkeypatch):
