--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -5,23 +5,20 @@
 import msgspec
 import pytest
 
-from sumacloom.consensus.acceptor import Acceptor, Slot
-from sumacloom.consensus.proposal import Ballots, Proposal
-from sumacloom.controller.registers.values import (
-    BlueprintValue,
-    DutyValue,
-    EvacuationsValue,
-    claim_duty,
-    decode,
-    evacuate,
-    keep,
-    put_blueprint,
-)
-from sumacloom.transport.messages import Accept, Configuration, Prepare
-from sumacloom.types import NO_BALLOT, Ballot
+from sumacloom.consensus.acceptor import Acceptor, RegisterState
+from sumacloom.consensus.codec import decode, unchanged
+from sumacloom.consensus.messages import Accept, Prepare
+from sumacloom.consensus.proposal import Proposal
+from sumacloom.consensus.proposal_number import NO_PROPOSAL, ProposalNumber, ProposalNumberSource
+from sumacloom.consensus.quorum import QuorumConfiguration
+from sumacloom.controller.registers.configuration import ConfigurationValue, put_configuration
+from sumacloom.controller.registers.lease import LeaseValue, acquire_lease
+from sumacloom.controller.registers.zone_drains import ZoneDrainsValue, drain_zone
+
+from .changes import apply_change
 
 VOTERS = ["a", "b", "c"]
-PANEL = Configuration(1, (), tuple(VOTERS))
+PANEL = QuorumConfiguration(1, (), tuple(VOTERS))
 
 
 class Cluster:
@@ -35,11 +32,18 @@
         self.down, self.proposals, self.post = set(), [], []
 
     def propose(self, at, change, reading=False):
-        slot = self.acceptors[at].slots.get("k", Slot())
-        ballots = Ballots(at, self.random.getrandbits(40), self.random)
-        ballots.saw(slot.promised)
+        register_state = self.acceptors[at].registers.get("k", RegisterState())
+        proposal_numbers = ProposalNumberSource(at, self.random.getrandbits(40), self.random)
+        proposal_numbers.observe(register_state.promised)
         proposal = Proposal(
-            "k", change, PANEL, (slot.accepted, slot.value), ballots, self.now, 3.0, reading
+            "k",
+            change,
+            PANEL,
+            (register_state.accepted, register_state.value),
+            proposal_numbers,
+            self.now,
+            3.0,
+            reading,
         )
         self.proposals.append((at, proposal))
         self.send(at, proposal, proposal.messages())
@@ -56,47 +60,47 @@
         if self.post:
             voter, message, at, proposal = self.post.pop(self.random.randrange(len(self.post)))
             if voter not in self.down:
-                reply, keys = self.acceptors[voter].hear(message)
+                reply, keys = self.acceptors[voter].receive(message)
                 for key in keys:
-                    self.disks[voter][key] = self.acceptors[voter].slots[key]
+                    self.disks[voter][key] = self.acceptors[voter].registers[key]
                 if reply is not None and at not in self.down and self.random.random() >= self.loss:
-                    self.send(at, proposal, proposal.hear(voter, reply, self.now))
+                    self.send(at, proposal, proposal.receive(voter, reply, self.now))
         for at, proposal in self.proposals:
             if at not in self.down:
-                self.send(at, proposal, proposal.alarm(self.now))
+                self.send(at, proposal, proposal.on_timer(self.now))
 
     def crash(self, voter, disk=True):
         """The process dies; its proposals with it. Without its disk it must learn before it votes."""
         self.proposals = [(at, proposal) for at, proposal in self.proposals if at != voter]
         old = self.acceptors[voter]
         fresh = Acceptor(
-            PANEL, old.incarnation if disk else self.random.getrandbits(40), learned=disk
+            PANEL, old.incarnation if disk else self.random.getrandbits(40), recovered=disk
         )
         if disk:
-            fresh.slots = dict(self.disks[voter])
+            fresh.registers = dict(self.disks[voter])
         else:
             self.disks[voter] = {}
         self.acceptors[voter] = fresh
 
-    def relearn(self, voter):
+    def recover_again(self, voter):
         """Asks for everything until no teller has promised above the barrier any more."""
-        ballots = Ballots(voter, self.random.getrandbits(40), self.random)
+        proposal_numbers = ProposalNumberSource(voter, self.random.getrandbits(40), self.random)
         for _try in range(3):
-            barrier, tales = ballots.next(), {}
+            barrier, transfers = proposal_numbers.next(), {}
             for other in VOTERS:
                 if other == voter or other in self.down:
                     continue
                 teller = self.acceptors[other]
                 self.disks[other].update(
-                    (key, teller.slots[key]) for key in teller.raise_floor(barrier)
+                    (key, teller.registers[key]) for key in teller.promise_at_least(barrier)
                 )
-                tales[other] = teller.tell()
-                for _key, promised, *_rest in tales[other].slots:
-                    ballots.saw(promised)
-                ballots.saw(tales[other].floor)
-            keys = self.acceptors[voter].learn(tales, barrier)
+                transfers[other] = teller.export_state()
+                for _key, promised, *_rest in transfers[other].registers:
+                    proposal_numbers.observe(promised)
+                proposal_numbers.observe(transfers[other].promised_floor)
+            keys = self.acceptors[voter].recover(transfers, barrier)
             for key in keys or []:
-                self.disks[voter][key] = self.acceptors[voter].slots[key]
+                self.disks[voter][key] = self.acceptors[voter].registers[key]
             if keys is not None:
                 return True
         return False
@@ -117,10 +121,10 @@
     """Racing operators, a crash and a lost disk between rounds; then the newest is read back whole."""
     cluster = Cluster(seed)
     acknowledged, base = [], 0
-    for generation in range(1, 6):
+    for version in range(1, 6):
         racing = [
             cluster.propose(
-                at, put_blueprint(generation * 10 + place, b"%d" % (generation * 10 + place), base)
+                at, put_configuration(version * 10 + place, b"%d" % (version * 10 + place), base)
             )
             for place, at in enumerate(cluster.random.sample(VOTERS, 2))
         ]
@@ -128,51 +132,56 @@
             cluster.step()
         victim = cluster.random.choice(VOTERS)
         if cluster.random.random() < 0.7 and all(
-            acceptor.learned for acceptor in cluster.acceptors.values()
+            acceptor.recovered for acceptor in cluster.acceptors.values()
         ):
             cluster.crash(victim, disk=cluster.random.random() < 0.5)
         run_until_done(cluster)
         for voter in VOTERS:
-            if not cluster.acceptors[voter].learned:
-                assert cluster.relearn(voter)
+            if not cluster.acceptors[voter].recovered:
+                assert cluster.recover_again(voter)
         won = [
             proposal
             for proposal in racing
-            if proposal.outcome is not None and proposal.outcome.is_ok()
+            if proposal.outcome is not None and proposal.outcome.succeeded
         ]
         assert len(won) <= 1
-        reading = cluster.propose("a", keep, reading=True)
+        reading = cluster.propose("a", unchanged, reading=True)
         run_until_done(cluster)
-        if reading.outcome.is_err():
+        if reading.outcome.error is not None:
             continue
-        current = decode(BlueprintValue, reading.outcome.ok()[1])
-        acknowledged += [decode(BlueprintValue, proposal.outcome.ok()[1]).ver for proposal in won]
+        current = decode(ConfigurationValue, reading.outcome.register.value)
+        acknowledged += [
+            decode(ConfigurationValue, proposal.outcome.register.value).ver for proposal in won
+        ]
         if acknowledged:
             assert current.ver >= acknowledged[-1]
-            assert set(acknowledged) <= {ver for ver, _digest in current.taken.entries}
+            assert set(acknowledged) <= {ver for ver, _digest in current.order_history.entries}
         base = current.ver if current else 0
 
 
 def test_an_acceptor_refuses_the_second_round_of_another_incarnation():
     acceptor = Acceptor(PANEL, 1)
-    promise, _keys = acceptor.hear(Prepare("k", Ballot(1, "a", 1), NO_BALLOT))
+    promise, _keys = acceptor.receive(Prepare("k", ProposalNumber(1, "a", 1), NO_PROPOSAL))
     reborn = Acceptor(PANEL, 2)
-    reply, keys = reborn.hear(Accept("k", Ballot(1, "a", 1), b"v", promise.incarnation))
-    assert type(reply).__name__ == "Refused" and keys == [] and "k" not in reborn.slots
+    reply, keys = reborn.receive(Accept("k", ProposalNumber(1, "a", 1), b"v", promise.incarnation))
+    assert type(reply).__name__ == "Rejected" and keys == [] and "k" not in reborn.registers
 
 
 def test_a_lost_disk_keeps_silent_until_all_others_have_told():
     cluster = Cluster(1, loss=0.0)
-    done = cluster.propose("a", put_blueprint(5, b"{}", 0))
+    done = cluster.propose("a", put_configuration(5, b"{}", 0))
     run_until_done(cluster)
-    assert done.outcome.is_ok()
+    assert done.outcome.succeeded
     cluster.crash("c", disk=False)
-    assert cluster.acceptors["c"].hear(Prepare("k", Ballot(99, "z", 1), NO_BALLOT)) == (None, [])
+    assert cluster.acceptors["c"].receive(
+        Prepare("k", ProposalNumber(99, "z", 1), NO_PROPOSAL)
+    ) == (None, [])
     cluster.down.add("b")
-    assert not cluster.relearn("c")
+    assert not cluster.recover_again("c")
     cluster.down.clear()
     assert (
-        cluster.relearn("c") and cluster.acceptors["c"].slots["k"].accepted >= done.outcome.ok()[0]
+        cluster.recover_again("c")
+        and cluster.acceptors["c"].registers["k"].accepted >= done.outcome.register.proposal_number
     )
 
 
@@ -181,21 +190,23 @@
     still on its way to b must then be refused, or two values are decided on one generation.
     """
     acceptors = {voter: Acceptor(PANEL, number) for number, voter in enumerate(VOTERS)}
-    ballot = Ballot(5, "p", 1)
+    proposal_number = ProposalNumber(5, "p", 1)
     for voter in ("a", "c"):
-        acceptors[voter].hear(Prepare("k", ballot, NO_BALLOT))
-    acceptors["a"].hear(Accept("k", ballot, b"v", 0))
-    reborn, barrier = Acceptor(PANEL, 9, learned=False), Ballot(1, "a", 2)
+        acceptors[voter].receive(Prepare("k", proposal_number, NO_PROPOSAL))
+    acceptors["a"].receive(Accept("k", proposal_number, b"v", 0))
+    reborn, barrier = Acceptor(PANEL, 9, recovered=False), ProposalNumber(1, "a", 2)
     for round_number in (1, 6):
-        barrier = Ballot(round_number, "a", 2)
+        barrier = ProposalNumber(round_number, "a", 2)
         for voter in ("b", "c"):
-            acceptors[voter].raise_floor(barrier)
-        learned = reborn.learn({voter: acceptors[voter].tell() for voter in ("b", "c")}, barrier)
-        assert (learned is None) == (
+            acceptors[voter].promise_at_least(barrier)
+        recovered = reborn.recover(
+            {voter: acceptors[voter].export_state() for voter in ("b", "c")}, barrier
+        )
+        assert (recovered is None) == (
             round_number == 1
         )  # c had promised 5: a barrier of 1 is not enough
-    late, _keys = acceptors["b"].hear(Prepare("k", ballot, NO_BALLOT))
-    assert type(late).__name__ == "Refused"
+    late, _keys = acceptors["b"].receive(Prepare("k", proposal_number, NO_PROPOSAL))
+    assert type(late).__name__ == "Rejected"
 
 
 def test_a_promise_given_before_the_loss_lets_no_late_voter_into_the_second_round():
@@ -205,30 +216,41 @@
     acceptors = {voter: Acceptor(PANEL, number) for number, voter in enumerate(VOTERS)}
     source = random.Random(1)
     late = Proposal(
-        "k", put_blueprint(5, b"5", 0), PANEL, (NO_BALLOT, None), Ballots("q", 1, source), 0.0
+        "k",
+        put_configuration(5, b"5", 0),
+        PANEL,
+        (NO_PROPOSAL, None),
+        ProposalNumberSource("q", 1, source),
+        0.0,
     )
     asked = dict(late.messages())
-    promise, _keys = acceptors["b"].hear(asked["b"])
-    assert late.hear("b", promise, 0.0) == []
-    reborn, barrier = Acceptor(PANEL, 9, learned=False), Ballot(1, "b", 2)
+    promise, _keys = acceptors["b"].receive(asked["b"])
+    assert late.receive("b", promise, 0.0) == []
+    reborn, barrier = Acceptor(PANEL, 9, recovered=False), ProposalNumber(1, "b", 2)
     for voter in ("a", "c"):
-        acceptors[voter].raise_floor(barrier)
+        acceptors[voter].promise_at_least(barrier)
     assert (
-        reborn.learn({voter: acceptors[voter].tell() for voter in ("a", "c")}, barrier) is not None
+        reborn.recover({voter: acceptors[voter].export_state() for voter in ("a", "c")}, barrier)
+        is not None
     )
     acceptors["b"] = reborn
     early = Proposal(
-        "k", put_blueprint(4, b"4", 0), PANEL, (NO_BALLOT, None), Ballots("p", 1, source), 0.0
+        "k",
+        put_configuration(4, b"4", 0),
+        PANEL,
+        (NO_PROPOSAL, None),
+        ProposalNumberSource("p", 1, source),
+        0.0,
     )
     post = [(early, entry) for entry in early.messages() if entry[0] != "c"]
     post += [(late, ("c", asked["c"])), (late, ("a", asked["a"]))]
     while post:
         proposal, (voter, message) = post.pop(0)
-        reply, _keys = acceptors[voter].hear(message)
-        answers = [(proposal, entry) for entry in proposal.hear(voter, reply, 0.0)]
+        reply, _keys = acceptors[voter].receive(message)
+        answers = [(proposal, entry) for entry in proposal.receive(voter, reply, 0.0)]
         post = answers + post if proposal is early else post + answers
-    assert early.outcome.is_ok()
-    assert late.outcome is None or late.outcome.is_err()
+    assert early.outcome.succeeded
+    assert late.outcome is None or late.outcome.error is not None
 
 
 def test_a_voter_asked_late_takes_part_in_a_fresh_round():
@@ -236,73 +258,74 @@
     acceptors = {voter: Acceptor(PANEL, number) for number, voter in enumerate(VOTERS)}
     proposal = Proposal(
         "k",
-        put_blueprint(5, b"5", 0),
+        put_configuration(5, b"5", 0),
         PANEL,
-        (NO_BALLOT, None),
-        Ballots("a", 1, random.Random(1)),
+        (NO_PROPOSAL, None),
+        ProposalNumberSource("a", 1, random.Random(1)),
         0.0,
     )
     asked = dict(proposal.messages())
     for voter in VOTERS:
-        proposal.hear(voter, acceptors[voter].hear(asked[voter])[0], 0.0)
+        proposal.receive(voter, acceptors[voter].receive(asked[voter])[0], 0.0)
     now = 0.0
     while proposal.outcome is None:
         now += 0.02
-        post = proposal.alarm(now)
+        post = proposal.on_timer(now)
         while post:
             voter, message = post.pop(0)
             if voter != "b":
-                post += proposal.hear(voter, acceptors[voter].hear(message)[0], now)
-    assert proposal.outcome.is_ok() and now < 0.5
+                post += proposal.receive(voter, acceptors[voter].receive(message)[0], now)
+    assert proposal.outcome.succeeded and now < 0.5
 
 
 def test_without_a_majority_the_caller_gets_a_clear_no_in_time():
     cluster = Cluster(2, loss=0.0)
     cluster.down |= {"b", "c"}
-    proposal = cluster.propose("a", put_blueprint(5, b"{}", 0))
+    proposal = cluster.propose("a", put_configuration(5, b"{}", 0))
     run_until_done(cluster, 400)
-    assert proposal.outcome.err().name == "no_majority"
+    assert proposal.outcome.error.name == "no_majority"
 
 
 def test_an_undecided_value_is_finished_before_a_refusal():
     """A proposer died after one accept: the next caller's 412 must rest on a decided value."""
     cluster = Cluster(3, loss=0.0)
-    first = cluster.propose("a", put_blueprint(5, b"{}", 0))
-    ballot = first.ballot
+    first = cluster.propose("a", put_configuration(5, b"{}", 0))
+    proposal_number = first.proposal_number
     for voter in VOTERS:
-        cluster.acceptors[voter].hear(Prepare("k", ballot, NO_BALLOT))
-    value = put_blueprint(5, b"{}", 0)(None).ok()
-    cluster.acceptors["b"].hear(Accept("k", ballot, value, cluster.acceptors["b"].incarnation))
+        cluster.acceptors[voter].receive(Prepare("k", proposal_number, NO_PROPOSAL))
+    value = put_configuration(5, b"{}", 0)(None)
+    cluster.acceptors["b"].receive(
+        Accept("k", proposal_number, value, cluster.acceptors["b"].incarnation)
+    )
     cluster.post, cluster.proposals = [], []
     cluster.down.add("a")
-    second = cluster.propose("c", put_blueprint(9, b"{}", 0))
+    second = cluster.propose("c", put_configuration(9, b"{}", 0))
     run_until_done(cluster)
-    assert second.outcome.err().name == "stale_match"
-    assert decode(BlueprintValue, second.decided[1]).ver == 5
+    assert second.outcome.error.name == "stale_match"
+    assert decode(ConfigurationValue, second.committed[1]).ver == 5
 
 
 CHANGES = [
-    (put_blueprint(3, b"x", 0), None, "ok"),
-    (put_blueprint(3, b"x", 1), None, "stale_match"),
+    (put_configuration(3, b"x", 0), None, "ok"),
+    (put_configuration(3, b"x", 1), None, "stale_match"),
     (
-        put_blueprint(3, b"x", 0),
-        BlueprintValue(3, b"x", [(3, "2d711642b726b04401627ca9fbac32f5")]),
+        put_configuration(3, b"x", 0),
+        ConfigurationValue(3, b"x", [(3, "2d711642b726b04401627ca9fbac32f5")]),
         "same",
     ),
-    (put_blueprint(3, b"y", 3), BlueprintValue(3, b"w", []), "old_generation"),
-    (put_blueprint(2, b"y", 3), BlueprintValue(3, b"w", []), "old_generation"),
-    (put_blueprint(7, b"y", 3), BlueprintValue(3, b"w", []), "ok"),
-    (evacuate("z", True), None, "ok"),
-    (evacuate("z", False), None, "ok"),  # written, so that an order before it can't be finished
-    (evacuate("z", False), EvacuationsValue(1, []), "same"),
-    (evacuate("z", True), EvacuationsValue(1, ["z"]), "same"),
-    (claim_duty("b", 1, None), DutyValue("a", 1, 9), "stale_match"),
-    (claim_duty("b", 1, DutyValue("a", 1, 9)), DutyValue("a", 1, 9), "ok"),
+    (put_configuration(3, b"y", 3), ConfigurationValue(3, b"w", []), "old_generation"),
+    (put_configuration(2, b"y", 3), ConfigurationValue(3, b"w", []), "old_generation"),
+    (put_configuration(7, b"y", 3), ConfigurationValue(3, b"w", []), "ok"),
+    (drain_zone("z", True), None, "ok"),
+    (drain_zone("z", False), None, "ok"),  # written, so that an order before it can't be finished
+    (drain_zone("z", False), ZoneDrainsValue(1, []), "same"),
+    (drain_zone("z", True), ZoneDrainsValue(1, ["z"]), "same"),
+    (acquire_lease("b", 1, None), LeaseValue("a", 1, 9), "stale_match"),
+    (acquire_lease("b", 1, LeaseValue("a", 1, 9)), LeaseValue("a", 1, 9), "ok"),
 ]
 
 
 @pytest.mark.parametrize(("change", "current", "expected"), CHANGES)
 def test_changes(change, current, expected):
-    result = change(None if current is None else msgspec.msgpack.encode(current))
-    got = result.err().name if result.is_err() else ("same" if result.ok() is None else "ok")
-    assert got == expected
+    value = None if current is None else msgspec.msgpack.encode(current)
+    assert apply_change(change, value).name == expected
--- a/tests/test_schedules.py
+++ b/tests/test_schedules.py
@@ -50,51 +50,69 @@
 
     def client(self):
         key = self.random.randrange(1, 5)
-        if key not in self.stage.floor.sessions:
-            self.stage.floor.session_opened(key, self.stage.now)
+        if key not in self.stage.core.sessions:
+            self.stage.core.session_opened(key, self.stage.now)
             self.stage.say(key, f"LOGIN {self.random.choice(['books', 'search', 'copies'])} x")
         self.number += 1
         self.stage.say(key, f"QUERY q{self.number} {self.random.choice(TEXTS)}")
 
     def backend(self):
-        asked = [wire for wire in self.stage.floor.wires.values() if wire.expected]
+        asked = [
+            connection for connection in self.stage.core.connections.values() if connection.expected
+        ]
         if not asked:
             return
-        wire = self.random.choice(asked)
-        tag, owner = wire.expected[0][0], wire.owner
+        connection = self.random.choice(asked)
+        tag, owner = connection.expected[0][0], connection.owner
         if tag == "login":
             self.stage.answer(
-                wire, "READY I 1.9" if self.random.random() < 0.9 else "ERR MAXCONN full"
+                connection, "READY I 1.9" if self.random.random() < 0.9 else "ERR MAXCONN full"
             )
         elif self.random.random() < 0.75:
             self.answers += 1
-            letter = wire.expected[0][2] if self.random.random() < 0.9 else self.random.choice("IT")
+            letter = (
+                connection.expected[0][2]
+                if self.random.random() < 0.9
+                else self.random.choice("IT")
+            )
             done = ["ROW z", f"DONE 7.{self.answers}"] if tag == "run" else ["DONE -"]
-            self.stage.answer(wire, *done, f"READY {letter} 1.{self.number}")
+            self.stage.answer(connection, *done, f"READY {letter} 1.{self.number}")
         else:
             code = self.random.choice(CODES)
             if tag == "run" and code in NOT_RUN and getattr(owner, "statement", None):
                 self.out.pop(owner.statement.id, None)
             self.stage.answer(
-                wire, f"ERR {code} x", f"READY {self.random.choice('IE')} 1.{self.number}"
+                connection, f"ERR {code} x", f"READY {self.random.choice('IE')} 1.{self.number}"
             )
 
     def trouble(self):
-        wires, sessions = list(self.stage.floor.wires.values()), list(self.stage.floor.sessions)
-        if wires and self.random.random() < 0.6:
-            self.stage.lose(self.random.choice(wires))
+        connections, sessions = (
+            list(self.stage.core.connections.values()),
+            list(self.stage.core.sessions),
+        )
+        if connections and self.random.random() < 0.6:
+            self.stage.lose(self.random.choice(connections))
         elif sessions:
-            self.stage.floor.session_closed(self.random.choice(sessions), self.stage.now)
+            self.stage.core.session_closed(self.random.choice(sessions), self.stage.now)
             self.stage.act()
 
     def check(self):
-        for backend in self.stage.floor.yard.backends.values():
+        for backend in self.stage.core.pools.backends.values():
             assert all(
-                not wire.expected and wire.owner is None and wire.state == "I" and not wire.lost
-                for wire in backend.idle
+                not connection.expected
+                and connection.owner is None
+                and connection.state == "I"
+                and not connection.lost
+                for connection in backend.idle
+            )
+            assert backend.dialing == sum(
+                not connection.open for connection in backend.connections.values()
             )
-            assert backend.dialing == sum(not wire.open for wire in backend.wires.values())
-        owned = [wire.owner for wire in self.stage.floor.wires.values() if wire.owner is not None]
+        owned = [
+            connection.owner
+            for connection in self.stage.core.connections.values()
+            if connection.owner is not None
+        ]
         assert len(owned) == len(set(map(id, owned))), "two wires for one errand or transaction"
 
 
--- a/tests/test_statements.py
+++ b/tests/test_statements.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from .stage import BLUEPRINT, Stage
+from .stage import CONFIGURATION, Stage
 
 
 def test_primary_read_is_fenced_by_a_plain_begin():
@@ -16,7 +16,7 @@
     stage.answer(lead, "ROW x y", "DONE 7.1", "READY T 1.11")
     assert stage.take(1) == ["ROW x y", "DONE 7.1", "READY I 1.11"]
     stage.answer(lead, "DONE -", "READY I 1.11")
-    assert lead in stage.floor.yard.backends["p"].idle
+    assert lead in stage.core.pools.backends["p"].idle
 
 
 def test_refused_begin_never_lets_the_read_run_there():
@@ -28,7 +28,7 @@
     stage.answer(lead, "ERR RO p", "READY I 1.11")
     assert stage.take(lead.key) == [] and stage.take(1) == []
     stage.records("q", role="primary")
-    second = stage.wires("q")[0]
+    second = stage.connections("q")[0]
     assert stage.take(second.key) == ["QUERY - BEGIN"]
 
 
@@ -97,13 +97,15 @@
     assert stage.take(1) == []
     for _tick in range(12):
         stage.tick()
-        for wire in [
-            wire
-            for wire in stage.floor.wires.values()
-            if "QUERY - RESET" in stage.sent.get(wire.key, [])
+        for connection in [
+            connection
+            for connection in stage.core.connections.values()
+            if "QUERY - RESET" in stage.sent.get(connection.key, [])
         ]:
-            stage.take(wire.key)
-            stage.answer(wire, "DONE -", "READY I 1.11")  # after NOSUCH the wire is not trusted
+            stage.take(connection.key)
+            stage.answer(
+                connection, "DONE -", "READY I 1.11"
+            )  # after NOSUCH the wire is not trusted
     again = [line for lines in stage.sent.values() for line in lines if line == "QUERY 1 PUT a b"]
     assert again == ["QUERY 1 PUT a b"]
 
@@ -174,7 +176,7 @@
     stage.say(1, "QUERY 1 PUT a b")
     stage.answer(lead, "DONE 7.1", "READY I 1.30")
     stage.say(1, "QUERY 2 FETCH a")
-    sent = stage.take(near.key) + stage.take(stage.wires("r")[0].key)
+    sent = stage.take(near.key) + stage.take(stage.connections("r")[0].key)
     assert sent == ["QUERY 2 WAITPOS 1.30 FETCH a"]
 
 
@@ -185,7 +187,7 @@
     stage.say(1, "QUERY 1 FETCH a")
     stage.anchor(lead)
     assert stage.take(near.key) and not stage.take(far.key)
-    abroad = Stage({**BLUEPRINT, "routes": [{**BLUEPRINT["routes"][3], "geo": ["south"]}]})
+    abroad = Stage({**CONFIGURATION, "routes": [{**CONFIGURATION["routes"][3], "geo": ["south"]}]})
     lead, *_others = abroad.warm()
     abroad.client(1, "homely")
     abroad.say(1, "QUERY 1 PUT a b")
@@ -228,10 +230,10 @@
     stage = Stage()
     lead, *_others = stage.warm()
     stage.begun(lead)
-    stage.floor.session_closed(1, stage.now)
+    stage.core.session_closed(1, stage.now)
     stage.act()
     assert stage.take(lead.key) == ["QUERY - ABORT"]
-    assert lead not in stage.floor.yard.backends["p"].idle
+    assert lead not in stage.core.pools.backends["p"].idle
 
 
 def test_a_resting_transaction_is_ended_and_its_wire_freed():
@@ -275,12 +277,12 @@
 @pytest.mark.parametrize("line", BAD_LINES)
 def test_bad_lines_get_malformed_and_reach_no_backend(line):
     stage = Stage()
-    wires = stage.warm()
+    connections = stage.warm()
     stage.client(1, "books")
     stage.say(1, line)
     reply = stage.take(1)
     assert reply[0].startswith("ERR MALFORMED") and reply[1] == "READY I -"
-    assert not any(stage.take(wire.key) for wire in wires)
+    assert not any(stage.take(connection.key) for connection in connections)
 
 
 LOGINS = [
@@ -294,7 +296,7 @@
 @pytest.mark.parametrize(("line", "reply"), LOGINS)
 def test_bad_logins_are_told_and_closed(line, reply):
     stage = Stage()
-    stage.floor.session_opened(1, stage.now)
+    stage.core.session_opened(1, stage.now)
     stage.say(1, line)
     assert stage.take(1)[0].startswith(reply) and 1 in stage.shut
 
@@ -306,9 +308,9 @@
     stage.say(1, "QUERY 1 BEGIN")
     stage.say(1, "QUERY 2 PUT a b")
     stage.answer(lead, "DONE -", "READY T 1.11")
-    from sumacloom.configuration.model import Blueprint
+    from sumacloom.configuration.model import Configuration
 
-    stage.floor.take_blueprint(Blueprint(2), stage.now)
+    stage.core.apply_configuration(Configuration(2), stage.now)
     stage.take(lead.key)
     stage.answer(lead, "DONE 7.1", "READY T 1.11")
     stage.say(1, "QUERY 3 COMMIT")
@@ -323,7 +325,7 @@
     stage = Stage()
     lead, near, far = stage.warm()
     stage.client(1, "search")
-    stage.floor.yard.take_evacuations(["a"], stage.now)
+    stage.core.pools.apply_zone_drains(["a"], stage.now)
     stage.say(1, "QUERY 1 FETCH a")
     stage.anchor(lead)  # the lead serves on until the hand-over
     assert stage.take(far.key) and not stage.take(near.key)
@@ -336,7 +338,7 @@
 def test_a_cold_backend_gets_its_share_of_the_budget_only():
     stage = Stage(svcs=[{"name": "svc", "maxconn": 40, "coldS": 5, "coldPerS": 4}])
     lead, *_others = stage.warm()
-    stage.floor.yard.members = 4
+    stage.core.pools.members = 4
     stage.records("p", role="primary", cold_ms=5000)
     sent = 0
     for key in range(1, 9):
@@ -359,9 +361,9 @@
     stage.say(2, "QUERY 1 BEGIN")
     stage.say(2, "QUERY 2 PUT a b")
     stage.answer(lead, "DONE -", "READY T 1.11")
-    assert stage.floor.ready
-    timers.sigterm(stage.floor, stage.now)
-    assert not stage.floor.ready
+    assert stage.core.ready
+    timers.sigterm(stage.core, stage.now)
+    assert not stage.core.ready
     stage.answer(lead, "DONE 7.1", "READY T 1.11")
     stage.tick(1.0)
     assert stage.shut == []  # the platform still sends clients here
@@ -372,7 +374,7 @@
     stage.answer(lead, "DONE 7.2", "READY I 1.12")
     assert 2 in stage.shut
     stage.tick(0.05)
-    assert stage.floor.leaving == "gone"
+    assert stage.core.leaving == "gone"
 
 
 def test_a_commit_that_wrote_nothing_proves_no_lead():
@@ -384,9 +386,9 @@
     stage.say(1, "QUERY 2 COMMIT")
     stage.answer(lead, "DONE -", "READY T 1.11")
     stage.now += 5.0
-    before = list(stage.floor.yard.ground("svc").anchors.dated)
+    before = list(stage.core.pools.service_pool("svc").primary_positions.dated)
     stage.answer(lead, "DONE 7.1", "READY I 1.11")
-    assert list(stage.floor.yard.ground("svc").anchors.dated) == before
+    assert list(stage.core.pools.service_pool("svc").primary_positions.dated) == before
 
 
 ENDS = [
@@ -403,11 +405,11 @@
     stage = Stage()
     stage.warm()
     stage.client(1, "books")
-    timers.sigterm(stage.floor, stage.now)
+    timers.sigterm(stage.core, stage.now)
     for line in lines:
         stage.say(1, line)
-    stage.now = stage.floor.leaving_at + 4.9
+    stage.now = stage.core.leaving_at + 4.9
     stage.take(1)
-    timers.leave_step(stage.floor, stage.now)
+    timers.advance_shutdown(stage.core, stage.now)
     stage.act()
-    assert stage.take(1)[0].startswith(expected) and stage.floor.leaving == "gone"
+    assert stage.take(1)[0].startswith(expected) and stage.core.leaving == "gone"
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -13,43 +13,50 @@
 import pytest
 
 from sumacloom.consensus import storage
-from sumacloom.consensus.quorum import Configuration
-from sumacloom.controller.delivery import feed, subscribers
-from sumacloom.controller.policy import access, pool_modes, priority
-from sumacloom.controller.registers import values
-from sumacloom.wal.log import Ledger
+from sumacloom.consensus.codec import decode, encode
+from sumacloom.consensus.quorum import QuorumConfiguration
+from sumacloom.controller.delivery.feed import Feed
+from sumacloom.controller.delivery.subscribers import SubscribersValue
+from sumacloom.controller.policy.access import AccessValue
+from sumacloom.controller.policy.pool_modes import PoolModesValue
+from sumacloom.controller.policy.priority import PriorityValue
+from sumacloom.controller.registers import REGISTER_KEYS
+from sumacloom.controller.registers.configuration import ConfigurationValue
+from sumacloom.controller.registers.lease import LeaseValue
+from sumacloom.controller.registers.zone_drains import ZoneDrainsValue
+from sumacloom.wal.log import WriteAheadLog
 
 DATA = pathlib.Path(__file__).parent / "data"
 FOLDERS = ["damaged", "first_version", "node", "segments", "snapshot", "torn"]
 KINDS = {
-    "blueprint": values.BlueprintValue,
-    "evacuations": values.EvacuationsValue,
-    "duty/failover": values.DutyValue,
-    "lanes": priority.LanesValue,
-    "voters": Configuration,
-    "listeners": subscribers.Listeners,
-    "access": access.AccessValue,
-    "pooling": pool_modes.PoolValue,
-    "feed/books": feed.Feed,
+    "blueprint": ConfigurationValue,
+    "evacuations": ZoneDrainsValue,
+    "duty/failover": LeaseValue,
+    "lanes": PriorityValue,
+    "voters": QuorumConfiguration,
+    "listeners": SubscribersValue,
+    "access": AccessValue,
+    "pooling": PoolModesValue,
+    "feed/books": Feed,
 }
 
 
 def state_of(acceptor, others):
     """Everything read from a folder, in plain JSON types."""
-    slots = {
+    registers = {
         key: [
-            list(slot.promised),
-            list(slot.accepted),
-            None if slot.value is None else slot.value.hex(),
+            list(register_state.promised),
+            list(register_state.accepted),
+            None if register_state.value is None else register_state.value.hex(),
         ]
-        for key, slot in sorted(acceptor.slots.items())
+        for key, register_state in sorted(acceptor.registers.items())
     }
     return {
         "incarnation": acceptor.incarnation,
-        "learned": acceptor.learned,
-        "floor": list(acceptor.floor),
-        "configuration": json.loads(msgspec.json.encode(acceptor.configuration)),
-        "slots": slots,
+        "learned": acceptor.recovered,
+        "floor": list(acceptor.promised_floor),
+        "configuration": json.loads(msgspec.json.encode(acceptor.quorum)),
+        "slots": registers,
         "others": json.loads(msgspec.json.encode(others)),
     }
 
@@ -59,40 +66,40 @@
     folder = tmp_path / name
     shutil.copytree(DATA / "wal" / name, folder)
     expected = json.loads((DATA / "wal" / f"{name}.json").read_text())
-    ledger = Ledger(str(folder))
-    ledger.close()
+    wal = WriteAheadLog(str(folder))
+    wal.close()
     others = []
-    acceptor = storage.open_acceptor(ledger.payloads, others).ok()
-    assert [payload.hex() for payload in ledger.payloads] == expected["payloads"]
-    assert (ledger.damaged.code if ledger.damaged else 0) == expected["damaged"]
-    assert ledger.fresh == expected["fresh"]
+    acceptor = storage.restore_acceptor(wal.payloads, others)
+    assert [payload.hex() for payload in wal.payloads] == expected["payloads"]
+    assert (wal.damage.code if wal.damage else 0) == expected["damaged"]
+    assert wal.fresh == expected["fresh"]
     assert state_of(acceptor, others) == expected["state"]
-    assert [record.hex() for record in storage.whole(acceptor)] == expected["records"]
+    assert [record.hex() for record in storage.snapshot_records(acceptor)] == expected["records"]
 
 
 @pytest.mark.parametrize("name", ["segments", "snapshot"])
 def test_the_same_records_make_the_same_bytes_on_disk(name, tmp_path):
     expected = json.loads((DATA / "wal" / f"{name}.json").read_text())
-    written = tmp_path / "log"
-    ledger = Ledger(str(written))
+    handle_synced = tmp_path / "log"
+    wal = WriteAheadLog(str(handle_synced))
     payloads = [bytes.fromhex(payload) for payload in expected["payloads"]]
-    ledger.append(payloads)
-    ledger.snapshot(payloads)
-    ledger.close()
-    assert sorted(os.listdir(written)) == ["log-2", "snapshot-2"]
-    again = Ledger(str(written))
+    wal.append(payloads)
+    wal.snapshot(payloads)
+    wal.close()
+    assert sorted(os.listdir(handle_synced)) == ["log-2", "snapshot-2"]
+    again = WriteAheadLog(str(handle_synced))
     again.close()
     assert again.payloads == payloads
     original = (DATA / "wal" / "segments" / "log-1").read_bytes()
     rewritten = tmp_path / "rewritten"
-    ledger = Ledger(str(rewritten))
+    wal = WriteAheadLog(str(rewritten))
     expected = json.loads((DATA / "wal" / "segments.json").read_text())["payloads"]
     sizes = [11, 1, 1, 1, 4]  # records in each append of that folder
     assert sum(sizes) == len(expected)
     for size in sizes:
-        ledger.append([bytes.fromhex(payload) for payload in expected[:size]])
+        wal.append([bytes.fromhex(payload) for payload in expected[:size]])
         expected = expected[size:]
-    ledger.close()
+    wal.close()
     assert (rewritten / "log-1").read_bytes() == original
 
 
@@ -101,12 +108,12 @@
 )
 def test_the_value_of_a_register_is_read_and_written_the_same(row):
     value = bytes.fromhex(row["bytes"])
-    assert values.encode(values.decode(KINDS[row["key"]], value)) == value
+    assert encode(decode(KINDS[row["key"]], value)) == value
 
 
 def test_every_register_has_a_pinned_value():
     assert (
-        set(values.KEYS)
+        set(REGISTER_KEYS)
         <= set(KINDS)
         == {row["key"] for row in json.loads((DATA / "values.json").read_text())}
     )
--- a/tests/test_undo.py
+++ b/tests/test_undo.py
@@ -6,76 +6,86 @@
 import msgspec
 import pytest
 
-from sumacloom.cli import commands
-from sumacloom.configuration.model import decode_blueprint, pack_blueprint, unpack_blueprint
+from sumacloom.cli import configuration as configuration_commands
+from sumacloom.configuration.model import compress, decode_configuration, decompress
+from sumacloom.consensus.codec import decode, encode
 from sumacloom.controller.admin.undo_calls import one_per_node
-from sumacloom.controller.registers.values import (
-    BlueprintValue,
-    decode,
-    encode,
-    put_blueprint,
-    undo_blueprint,
+from sumacloom.controller.registers.configuration import (
+    ConfigurationValue,
+    put_configuration,
+    undo_configuration,
 )
-from sumacloom.transport.messages import News
-from sumacloom.transport.update_cache import Board, body_digest
+from sumacloom.transport.messages import Update
+from sumacloom.transport.update_cache import UpdateCache, body_checksum
 
-from .stage import BLUEPRINT, Stage
+from .changes import apply_change
+from .stage import CONFIGURATION, Stage
 from .test_fleet import Stub, reply
-from .town import Town, blueprint
+from .town import SimulatedFleet, configuration
 
 
 def chain(*changes):
     """The value after changes, and the last result's name."""
     value, name = None, ""
     for change in changes:
-        result = change(value)
-        name = result.err().name if result.is_err() else ("same" if result.ok() is None else "ok")
-        value = result.ok() if result.is_ok() and result.ok() is not None else value
-    return decode(BlueprintValue, value), name
+        name, value = apply_change(change, value)
+    return decode(ConfigurationValue, value), name
 
 
 ONE, TWO, SIX = (
-    put_blueprint(1, b'{"ver":1,"x":[1.0]}', 0),
-    put_blueprint(2, b'{"ver":2}', 1),
-    put_blueprint(6, b'{"ver":6}', 2),
+    put_configuration(1, b'{"ver":1,"x":[1.0]}', 0),
+    put_configuration(2, b'{"ver":2}', 1),
+    put_configuration(6, b'{"ver":6}', 2),
 )
 CASES = [
     # (changes, ver in force, body, what it restores, the last result)
-    ([ONE, undo_blueprint(1)], 1, b'{"ver":1,"x":[1.0]}', 0, "nothing_to_undo"),
-    ([undo_blueprint(3)], None, b"", 0, "stale_match"),
-    ([ONE, TWO, undo_blueprint(2)], 3, b'{"ver":3,"x":[1.0]}', 1, "ok"),
+    ([ONE, undo_configuration(1)], 1, b'{"ver":1,"x":[1.0]}', 0, "nothing_to_undo"),
+    ([undo_configuration(3)], None, b"", 0, "stale_match"),
+    ([ONE, TWO, undo_configuration(2)], 3, b'{"ver":3,"x":[1.0]}', 1, "ok"),
     (
-        [ONE, TWO, undo_blueprint(2), undo_blueprint(2)],
+        [ONE, TWO, undo_configuration(2), undo_configuration(2)],
         3,
         b'{"ver":3,"x":[1.0]}',
         1,
         "same",
     ),  # a repeat, or two at once
     (
-        [ONE, TWO, undo_blueprint(2), undo_blueprint(3)],
+        [ONE, TWO, undo_configuration(2), undo_configuration(3)],
         4,
         b'{"ver":4}',
         2,
         "ok",
     ),  # the undo of an undo
-    ([ONE, TWO, undo_blueprint(1)], 2, b'{"ver":2}', 0, "stale_match"),  # a wrong base
-    ([ONE, TWO, SIX, undo_blueprint(2)], 6, b'{"ver":6}', 0, "stale_match"),  # the edit was faster
+    ([ONE, TWO, undo_configuration(1)], 2, b'{"ver":2}', 0, "stale_match"),  # a wrong base
     (
-        [ONE, TWO, undo_blueprint(2), SIX],
+        [ONE, TWO, SIX, undo_configuration(2)],
+        6,
+        b'{"ver":6}',
+        0,
+        "stale_match",
+    ),  # the edit was faster
+    (
+        [ONE, TWO, undo_configuration(2), SIX],
         3,
         b'{"ver":3,"x":[1.0]}',
         1,
         "stale_match",
     ),  # the undo was faster
-    ([ONE, TWO, undo_blueprint(2), put_blueprint(9, b'{"ver":9}', 3)], 9, b'{"ver":9}', 0, "ok"),
     (
-        [ONE, TWO, undo_blueprint(2), TWO],
+        [ONE, TWO, undo_configuration(2), put_configuration(9, b'{"ver":9}', 3)],
+        9,
+        b'{"ver":9}',
+        0,
+        "ok",
+    ),
+    (
+        [ONE, TWO, undo_configuration(2), TWO],
         3,
         b'{"ver":3,"x":[1.0]}',
         1,
         "same",
     ),  # a late resend stays undone
-    ([ONE, TWO, SIX, undo_blueprint(6), undo_blueprint(6)], 7, b'{"ver":7}', 2, "same"),
+    ([ONE, TWO, SIX, undo_configuration(6), undo_configuration(6)], 7, b'{"ver":7}', 2, "same"),
 ]
 
 
@@ -84,41 +94,41 @@
     value, name = chain(*changes)
     assert name == last
     if ver:
-        assert (value.ver, value.raw, value.restores) == (ver, body, restores)
+        assert (value.ver, value.body, value.restores) == (ver, body, restores)
 
 
 def test_what_is_kept_is_bounded_and_never_less_than_the_one_before():
     value, noise = None, random.Random(1)
     for ver in range(1, 30):
         body = b'{"ver":%d,"n":"%s"}' % (ver, noise.randbytes(20_000).hex().encode())
-        value = put_blueprint(ver, body, ver - 1)(value).ok()
-    kept = decode(BlueprintValue, value).past
-    assert kept[0][0] == 28 and sum(len(packed) for _ver, packed in kept) <= (48 << 10) + len(
-        kept[0][1]
-    )
+        value = put_configuration(ver, body, ver - 1)(value)
+    kept = decode(ConfigurationValue, value).earlier
+    assert kept[0][0] == 28 and sum(len(compressed) for _ver, compressed in kept) <= (
+        48 << 10
+    ) + len(kept[0][1])
 
 
 def test_many_routes_travel_packed_and_come_out_as_they_were():
     raw = msgspec.json.encode(
         {
-            **BLUEPRINT,
+            **CONFIGURATION,
             "routes": [
                 {"name": f"r{n}", "host": f"h{n * 7919 % 104729}", "svc": "svc", "tmoMs": 1000}
                 for n in range(1500)
             ],
         }
     )
-    assert len(pack_blueprint(raw)) < len(raw) / 4 and unpack_blueprint(pack_blueprint(raw)) == raw
-    with pytest.raises(ValueError):
-        unpack_blueprint(pack_blueprint(raw)[:-9])
+    assert len(compress(raw)) < len(raw) / 4 and decompress(compress(raw)) == raw
+    with pytest.raises(ValueError, match="a configuration"):
+        decompress(compress(raw)[:-9])
     assert (
-        decode(BlueprintValue, encode(BlueprintValue(1, raw, []))).raw == raw
+        decode(ConfigurationValue, encode(ConfigurationValue(1, raw, []))).body == raw
     )  # of the first version
 
 
 # ---------------------------------------------------------------- what is in flight
 ELSEWHERE = {
-    "routes": [{**BLUEPRINT["routes"][0], "svc": "other"}],
+    "routes": [{**CONFIGURATION["routes"][0], "svc": "other"}],
     "svcs": [{"name": "svc"}, {"name": "other"}],
 }
 
@@ -127,8 +137,9 @@
     """A stage whose edit has sent `books` to a service without backends."""
     stage = Stage()
     lead, _q, _r = stage.warm()
-    stage.floor.take_blueprint(
-        decode_blueprint(msgspec.json.encode({**BLUEPRINT, **ELSEWHERE, "ver": 2})), stage.now
+    stage.core.apply_configuration(
+        decode_configuration(msgspec.json.encode({**CONFIGURATION, **ELSEWHERE, "ver": 2})),
+        stage.now,
     )
     return stage, lead
 
@@ -138,8 +149,8 @@
     stage.client(1, "books")
     stage.say(1, "QUERY 5 PUT a b")
     assert stage.take(lead.key) == []
-    stage.floor.take_blueprint(
-        decode_blueprint(msgspec.json.encode({**BLUEPRINT, "ver": 3})), stage.now
+    stage.core.apply_configuration(
+        decode_configuration(msgspec.json.encode({**CONFIGURATION, "ver": 3})), stage.now
     )
     stage.act()
     assert stage.take(lead.key) == ["QUERY 5 PUT a b"]
@@ -161,8 +172,9 @@
         if place == "commit":
             stage.say(1, "QUERY 6 COMMIT")
             assert stage.take(lead.key) == ["QUERY 6 COMMIT"]
-    stage.floor.take_blueprint(
-        decode_blueprint(msgspec.json.encode({**BLUEPRINT, **ELSEWHERE, "ver": 2})), stage.now
+    stage.core.apply_configuration(
+        decode_configuration(msgspec.json.encode({**CONFIGURATION, **ELSEWHERE, "ver": 2})),
+        stage.now,
     )
     stage.act()
     assert stage.take(lead.key) == []
@@ -180,9 +192,9 @@
     lead, _q, _r = stage.warm()
     stage.begun(lead)
     stage.client(2, "books")
-    stage.floor.take_lanes([], False, True, stage.now)
+    stage.core.apply_priority([], False, True, stage.now)
     stage.act()
-    assert not stage.floor.ready and 2 in stage.shut
+    assert not stage.core.ready and 2 in stage.shut
     stage.say(1, "QUERY 6 COMMIT")  # a transaction on its wire goes on
     assert stage.take(lead.key) == ["QUERY 6 COMMIT"]
     stage.answer(lead, "DONE 7.1", "READY I 1.12")
@@ -195,43 +207,49 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_an_edit_that_misdirects_is_undone_everywhere_and_each_request_arrives_once(seed):
     """Under load, with a counter cut off, one killed and one starting while the undo is on its way."""
-    town = Town(seed, desks=5)
-    assert town.decide(
-        "10.0.0.1", "blueprint", put_blueprint(4, blueprint(4, guarded=True), 0)
-    ).is_ok()
-    town.run(2.5)
-    edit = put_blueprint(9, blueprint(9, "shelf-b", guarded=True), 4)
-    assert town.decide("10.0.0.2", "blueprint", edit).is_ok()
-    town.run(town.random.uniform(0.2, 1.0))
-    town.split(True)  # the south's counters hear nobody who has a majority
-    town.run(town.random.uniform(0.1, 3.0))
-    town.kill_desk(town.random.choice(town.desks))
-    undone = town.decide("10.0.0.1", "blueprint", undo_blueprint(9))
+    fleet = SimulatedFleet(seed, poolers=5)
+    assert fleet.decide(
+        "10.0.0.1", "blueprint", put_configuration(4, configuration(4, guarded=True), 0)
+    ).succeeded
+    fleet.run(2.5)
+    edit = put_configuration(9, configuration(9, "shelf-b", guarded=True), 4)
+    assert fleet.decide("10.0.0.2", "blueprint", edit).succeeded
+    fleet.run(fleet.random.uniform(0.2, 1.0))
+    fleet.split(True)  # the south's counters hear nobody who has a majority
+    fleet.run(fleet.random.uniform(0.1, 3.0))
+    fleet.kill_pooler(fleet.random.choice(fleet.poolers))
+    undone = fleet.decide("10.0.0.1", "blueprint", undo_configuration(9))
     assert (
-        undone.is_ok()
-        and town.decide("10.0.0.2", "blueprint", undo_blueprint(9)).ok()[1] == undone.ok()[1]
+        undone.succeeded
+        and fleet.decide("10.0.0.2", "blueprint", undo_configuration(9)).register.value
+        == undone.register.value
     )
-    town.start_desk("south"), town.start_desk("north")
-    town.run(3.0)
-    wrong = len(town.stores["q"].log)
-    for desk in town.desks:  # nobody takes work by the edit any more
+    fleet.start_pooler("south"), fleet.start_pooler("north")
+    fleet.run(3.0)
+    wrong = len(fleet.stores["q"].log)
+    for pooler in fleet.poolers:  # nobody takes work by the edit any more
         assert (
-            desk.floor.blueprint is None or desk.floor.blueprint.ver == 10 or not desk.floor.ready
+            pooler.core.configuration is None
+            or pooler.core.configuration.ver == 10
+            or not pooler.core.ready
         )
-    town.run(1.0)
-    assert len(town.stores["q"].log) == wrong and wrong
-    town.split(False)
-    town.run(3.0)
-    town.end()
-    held = {(desk.floor.blueprint.ver, body_digest(desk.board.packed)) for desk in town.desks}
+    fleet.run(1.0)
+    assert len(fleet.stores["q"].log) == wrong and wrong
+    fleet.split(False)
+    fleet.run(3.0)
+    fleet.end()
+    held = {
+        (pooler.core.configuration.ver, body_checksum(pooler.cache.compressed))
+        for pooler in fleet.poolers
+    }
     held |= {
-        (one.board.blueprint.ver, body_digest(one.board.packed))
-        for one in town.land.offices.values()
+        (one.cache.configuration.ver, body_checksum(one.cache.compressed))
+        for one in fleet.cluster.cores.values()
     }
     assert len(held) == 1 and next(iter(held))[0] == 10
-    counts = Counter(town.written())
-    acked = [token for client in town.clients for token in client.acked]
-    doubtful = {token for client in town.clients for token in client.doubtful}
+    counts = Counter(fleet.written())
+    acked = [token for client in fleet.clients for token in client.acked]
+    doubtful = {token for client in fleet.clients for token in client.doubtful}
     assert len(acked) > 50 and all(counts[token] == 1 for token in acked)
     assert all(count == 1 for count in counts.values())
     assert set(counts) <= set(acked) | doubtful
@@ -264,7 +282,9 @@
 @pytest.mark.parametrize(("rows", "without", "code"), WATCHED)
 def test_the_command_waits_for_every_node_and_names_who_is_missing(rows, without, code, capsys):
     stub = Stub(UNDONE, reply(200, rows))
-    assert commands.undo(generation=7, at=stub.address, wait=0.0, without=without) == code
+    assert (
+        configuration_commands.undo(version=7, at=stub.address, wait=0.0, without=without) == code
+    )
     if code and len(rows) == 3 and rows[2]["generation"] != 8:
         assert "edge-2" in capsys.readouterr().err
 
@@ -305,15 +325,15 @@
             }
         )
 
-    root, child = Board(), Board()
+    root, child = UpdateCache(), UpdateCache()
     for ver in (3, 7, 9):
-        root.take(News(pack_blueprint(body(ver, ver)), 0, None, None))
-        news = root.news_for(child.digest())
-        assert child.take(news) and child.packed == root.packed
-        assert (len(news.blueprint) < 300) == (ver > 3)
-    late = Board()
-    late.take(News(pack_blueprint(body(2, 2)), 0, None, None))
+        root.apply(Update(compress(body(ver, ver)), 0, None, None))
+        update = root.update_for(child.digest())
+        assert child.apply(update) and child.compressed == root.compressed
+        assert (len(update.configuration) < 300) == (ver > 3)
+    late = UpdateCache()
+    late.apply(Update(compress(body(2, 2)), 0, None, None))
     assert (
-        not late.take(news) and late.blueprint.ver == 2
+        not late.apply(update) and late.configuration.ver == 2
     )  # a difference of a body it does not hold
-    assert late.take(root.news_for(late.digest())) and late.packed == root.packed
+    assert late.apply(root.update_for(late.digest())) and late.compressed == root.compressed
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from .stage import BLUEPRINT, Stage
+from .stage import CONFIGURATION, Stage
 
 HOLDS = [
     # (seconds without a lead before the statement, word of a coming lead, held at least, at most; aim 400 ms, time-out 1 s)
@@ -12,15 +12,15 @@
 ]
 
 
-@pytest.mark.parametrize(("headless", "pending", "least", "most"), HOLDS)
-def test_how_long_a_statement_is_held_without_a_lead(headless, pending, least, most):
-    routes = [{**BLUEPRINT["routes"][0], "goalMs": 400}]
-    stage = Stage({**BLUEPRINT, "routes": routes})
+@pytest.mark.parametrize(("without_primary", "pending", "least", "most"), HOLDS)
+def test_how_long_a_statement_is_held_without_a_lead(without_primary, pending, least, most):
+    routes = [{**CONFIGURATION["routes"][0], "goalMs": 400}]
+    stage = Stage({**CONFIGURATION, "routes": routes})
     stage.client(1, "books")
-    ground = stage.floor.yard.ground("svc")
-    ground.headless_since = stage.now - headless
-    ground.pending_until = stage.now + 2.0 if pending else -1e9
-    stage.floor.yard.backends["p"].role = "replica"
+    service_pool = stage.core.pools.service_pool("svc")
+    service_pool.without_primary_since = stage.now - without_primary
+    service_pool.pending_until = stage.now + 2.0 if pending else -1e9
+    stage.core.pools.backends["p"].role = "replica"
     started = stage.now
     stage.say(1, "QUERY 1 PUT a b")
     while not stage.sent.get(1):
@@ -33,15 +33,15 @@
         svcs=[{"name": "svc", "maxconn": 23}]
     )  # a fair share of two wires for eight members
     lead, *_others = stage.warm()
-    stage.floor.yard.backends["p"].crowded_until = stage.now + 9
-    stage.floor.take_lanes(["copies"], True, True, stage.now)
+    stage.core.pools.backends["p"].connection_limit_until = stage.now + 9
+    stage.core.apply_priority(["copies"], True, True, stage.now)
     stage.client(1, "books")
     stage.client(2, "books")
     stage.client(3, "copies")
     stage.say(1, "QUERY 1 PUT a b")
     assert stage.take(lead.key) == ["QUERY 1 PUT a b"]
     stage.say(2, "QUERY 2 PUT a b")
-    second = stage.wires("p")[1]
+    second = stage.connections("p")[1]
     stage.take(second.key)
     stage.answer(second, "READY I 1.10")
     assert stage.take(second.key) == []  # the last wire is kept
@@ -55,16 +55,16 @@
     stage.client(1, "books")
     stage.client(2, "books")
     stage.say(2, "QUERY 1 PUT a b")
-    stage.floor.take_lanes(["books"], False, False, stage.now)
+    stage.core.apply_priority(["books"], False, False, stage.now)
     stage.act()
-    assert stage.floor.ready and not stage.shut  # lanes never used: nothing changes
-    stage.floor.take_lanes(["books"], False, True, stage.now)
+    assert stage.core.ready and not stage.shut  # lanes never used: nothing changes
+    stage.core.apply_priority(["books"], False, True, stage.now)
     stage.act()
-    assert not stage.floor.ready and stage.shut == [1]
+    assert not stage.core.ready and stage.shut == [1]
     stage.answer(lead, "DONE 7.1", "READY I 1.12")
     assert stage.take(2) == ["DONE 7.1", "READY I 1.12"]
-    stage.floor.take_lanes(["books"], True, True, stage.now)
-    assert stage.floor.ready
+    stage.core.apply_priority(["books"], True, True, stage.now)
+    assert stage.core.ready
 
 
 def test_a_value_set_again_inside_a_transaction_is_put_in_place_there():
@@ -87,23 +87,25 @@
     assert stage.take(lead.key) == ["QUERY - RESET", "QUERY - SET tz alex"]
 
 
-@pytest.mark.parametrize("alone", [False, True])
-def test_a_counter_that_hears_nobody_and_has_no_lead_lets_its_clients_go_elsewhere_at_once(alone):
+@pytest.mark.parametrize("isolated", [False, True])
+def test_a_counter_that_hears_nobody_and_has_no_lead_lets_its_clients_go_elsewhere_at_once(
+    isolated,
+):
     """Found on emra-tiles-control scale-2: cut off together with the old primary, three counters held what they
     could not serve, for a lead that was on the other side.
     """
     stage = Stage()
     lead, _q, _r = stage.warm()
-    stage.floor.alone = alone
+    stage.core.isolated = isolated
     stage.client(1, "books")
     stage.say(1, "QUERY 5 PUT a b")
     stage.answer(lead, "ERR RO p", "READY I 1.10")
     for _tick in range(3):
         stage.tick()
-    told = stage.take(1)
-    assert (1 in stage.shut) == alone and bool(told) == alone
-    if alone:
-        assert told[0].startswith("ERR BUSY not run; come back")
+    reported = stage.take(1)
+    assert (1 in stage.shut) == isolated and bool(reported) == isolated
+    if isolated:
+        assert reported[0].startswith("ERR BUSY not run; come back")
 
 
 def test_resends_to_a_struggling_service_are_bounded_and_what_has_none_left_is_told_at_once():
@@ -128,7 +130,7 @@
     _lead, near, far = stage.warm()
     stage.client(1, "search")
     stage.say(1, "QUERY 5 FETCH a")
-    stage.anchor(stage.wires("p")[0])
+    stage.anchor(stage.connections("p")[0])
     assert "FETCH a" in stage.take(near.key)[0]
     stage.answer(near, f"ERR {code} x", "READY I 1.10")
     stage.tick(0.04)
@@ -140,20 +142,20 @@
     and who had none stayed without, since idle wires above the fair share were kept.
     """
     stage = Stage(svcs=[{"name": "svc", "maxconn": 800}])
-    yard, lead = stage.floor.yard, stage.floor.yard.backends["p"]
-    yard.settled = False
-    assert yard.cap(lead, stage.now) == 4  # 8 members would make it 32
-    yard.settled = True
-    assert yard.cap(lead, stage.now) == 32
+    pools, lead = stage.core.pools, stage.core.pools.backends["p"]
+    pools.members_counted = False
+    assert pools.connection_limit(lead, stage.now) == 4  # 8 members would make it 32
+    pools.members_counted = True
+    assert pools.connection_limit(lead, stage.now) == 32
     stage.warm()
     for _wire in range(9):
-        wire = yard.new_wire(lead, stage.now)
-        stage.floor.wires[wire.key] = wire
-        wire.login("edge-1")
-        stage.answer(wire, "READY I 1.10")
-    yard.count_members(200, stage.now)  # now they are counted: 2 each, 4 while nobody minds
+        connection = pools.new_connection(lead, stage.now)
+        stage.core.connections[connection.key] = connection
+        connection.login("edge-1")
+        stage.answer(connection, "READY I 1.10")
+    pools.count_members(200, stage.now)  # now they are counted: 2 each, 4 while nobody minds
     stage.tick(0.5)
-    assert len(lead.wires) == 10
+    assert len(lead.connections) == 10
     for _tick in range(4):
         stage.tick(0.6)
-    assert len(lead.wires) == 4
+    assert len(lead.connections) == 4
--- a/tests/test_wire_format.py
+++ b/tests/test_wire_format.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from sumacloom.transport.messages import ENCODER, KINDS, Unframer, frame
+from sumacloom.transport.messages import ENCODER, KINDS, FrameDecoder, encode_frame
 
 ROWS = json.loads((pathlib.Path(__file__).parent / "data" / "messages.json").read_text())
 
@@ -17,9 +17,9 @@
 @pytest.mark.parametrize("row", ROWS, ids=lambda row: row["tag"])
 def test_a_message_is_read_and_written_as_by_the_earlier_release(row):
     data = bytes.fromhex(row["frame"])
-    (message,) = Unframer().feed(data)
+    (message,) = FrameDecoder().feed(data)
     assert json.loads(msgspec.json.encode(message)) == [row["tag"], *row["fields"]]
-    assert frame(message) == data
+    assert encode_frame(message) == data
     assert len(ENCODER.encode(message)) + 4 == len(data)
 
 
--- a/tests/town.py
+++ b/tests/town.py
@@ -5,22 +5,20 @@
 
 import msgspec
 
-from sumacloom.controller.delivery.log import take_intent, take_verdict
-from sumacloom.controller.policy.access import Stamps
-from sumacloom.controller.policy.pool_modes import hear_minds
+from sumacloom.controller.policy.access import StampQueue
 from sumacloom.pooler import admission, connection_loss, delivery, server_results, timers
-from sumacloom.pooler.core import Floor
+from sumacloom.pooler.core import PoolerCore
 from sumacloom.settings import Settings
-from sumacloom.transport.messages import Held, Intent
-from sumacloom.transport.update_cache import Board
-from sumacloom.transport.updates import Record
+from sumacloom.transport.messages import DeliveryIntent, IntentStored
+from sumacloom.transport.update_cache import UpdateCache
+from sumacloom.transport.updates import BackendRecord
 
-from .test_voters import Land
+from .test_voters import ControllerCluster
 
 WAY_S = 0.004
 
 
-def blueprint(ver, service="shelf-a", databases=("books",), **limits):
+def configuration(ver, service="shelf-a", databases=("books",), **limits):
     return msgspec.json.encode(
         {
             "ver": ver,
@@ -48,24 +46,24 @@
         self.name, self.service, self.log, self.runs = name, service, [], 0
         self.open = {}  # wire: writes of its transaction, None outside
 
-    def hear(self, wire, line):
+    def receive(self, connection, line):
         """The lines that answer one line."""
         word, _blank, rest = line.partition(" ")
         if word != "QUERY":
             return ["READY I 1.0"] if word == "LOGIN" else []
         statement_id, _blank, text = rest.partition(" ")
-        writes = self.open.get(wire)
+        writes = self.open.get(connection)
         verb = text.split(" ")[0]
         if verb == "BEGIN":
-            self.open[wire] = []
+            self.open[connection] = []
         elif verb == "PUT" and writes is not None:
             writes.append(text)
         elif verb == "PUT":
             self.log.append(text)
         elif verb in ("COMMIT", "ABORT"):
             self.log += writes if verb == "COMMIT" and writes else []
-            self.open[wire] = None
-        state = "T" if self.open.get(wire) is not None else "I"
+            self.open[connection] = None
+        state = "T" if self.open.get(connection) is not None else "I"
         self.runs += 1
         return [
             "DONE -" if statement_id == "-" else f"DONE 7.{self.runs}",
@@ -73,88 +71,92 @@
         ]
 
 
-class Desk:
+class SimulatedPooler:
     """One counter: its floor, its board, its wires to the stores."""
 
-    def __init__(self, town, number, region):
-        self.town, self.node, self.region = town, f"edge-{number}", region
-        self.life = town.random.getrandbits(40)
-        self.floor = Floor(
+    def __init__(self, fleet, number, region):
+        self.fleet, self.node, self.region = fleet, f"edge-{number}", region
+        self.incarnation = fleet.random.getrandbits(40)
+        self.core = PoolerCore(
             Settings(self.node, "counter", f"10.0.1.{number}", "a", "north", zones={"a": "north"}),
-            self.life,
+            self.incarnation,
         )
-        self.floor.yard.next_key = 1 << 20
-        self.floor.yard.members = 4
-        self.board, self.sure_at = Board(), -1e9
+        self.core.pools.next_key = 1 << 20
+        self.core.pools.members = 4
+        self.cache, self.current_at = UpdateCache(), -1e9
         self.replies, self.session = {}, ""
-        self.lease, self.stamps, self.said = admission.Lease(), Stamps(), None
+        self.lease, self.stamps, self.said = admission.AccessLease(), StampQueue(), None
 
-    def office(self):
+    def controller(self):
         """The registrar this counter can hear, if any."""
-        land = self.town.land
+        cluster = self.fleet.cluster
         return next(
             (
-                land.offices[ip]
+                cluster.cores[ip]
                 for ip in sorted(
-                    land.offices, key=lambda ip: self.town.region_of(ip) != self.region
+                    cluster.cores, key=lambda ip: self.fleet.region_of(ip) != self.region
                 )
-                if not self.town.parted(self.region, self.town.region_of(ip))
+                if not self.fleet.parted(self.region, self.fleet.region_of(ip))
             ),
             None,
         )
 
-    def take_news(self, now):
-        one = self.office()
+    def apply_update(self, now):
+        one = self.controller()
         if one is None:
             return
-        news = one.board.news_for(self.board.digest())
-        if one.settled(now):
-            self.sure_at = now
-        digest = self.board.digest()
-        one.members.hear(self.node, "a", self.node, now, digest.lanes, digest.listeners, self.life)
-        if self.session not in ("", one.me) and self.session in self.town.land.offices:
-            self.town.land.offices[self.session].members.end(self.node, now)
+        update = one.cache.update_for(self.cache.digest())
+        if one.in_quorum(now):
+            self.current_at = now
+        digest = self.cache.digest()
+        one.members.receive(
+            self.node, "a", self.node, now, digest.priority, digest.subscribers, self.incarnation
+        )
+        if self.session not in ("", one.me) and self.session in self.fleet.cluster.cores:
+            self.fleet.cluster.cores[self.session].members.end(self.node, now)
         if self.session != one.me:
-            self.stamps, self.said = Stamps(), None
+            self.stamps, self.said = StampQueue(), None
         self.session = one.me
-        hear_minds(one, self.floor.pooling.minds(now))
+        one.pool_mode_votes.receive(self.core.pool_modes.pool_mode_votes(now))
         said, self.said = (
             self.said,
-            (one.board.access.order, self.stamps.confirmed(one.readings.read_at)),
+            (one.cache.access.order, self.stamps.confirmed_by(one.access.read_at)),
         )
         if said:  # the beat before this one has arrived by now
-            self.lease.hear(said[0], self.board.access.order, said[1], now)
-        self.stamps.hear(None if self.lease.until is None else now, now)
-        if news and self.board.take(news):
-            if self.board.blueprint:
-                self.floor.take_blueprint(self.board.blueprint, now)
-            self.floor.pooling.take(self.board.pooling, self.board.pool_rows)
-            self.floor.take_records(list(self.board.records.values()), now)
+            self.lease.receive(said[0], self.cache.access.order, said[1], now)
+        self.stamps.receive(None if self.lease.until is None else now, now)
+        if update and self.cache.apply(update):
+            if self.cache.configuration:
+                self.core.apply_configuration(self.cache.configuration, now)
+            self.core.pool_modes.take(self.cache.pool_modes, self.cache.pool_modes)
+            self.core.apply_records(list(self.cache.records.values()), now)
 
     @property
-    def sure(self):
-        return self.town.land.now - self.sure_at < 2.0
+    def is_current(self):
+        return self.fleet.cluster.now - self.current_at < 2.0
 
     def act(self, now):
-        town = self.town
-        effects, self.floor.effects = self.floor.effects, []
+        fleet = self.fleet
+        effects, self.core.effects = self.core.effects, []
         for kind, *rest in effects:
             if kind == "dial":
-                wire = self.floor.wires[rest[0]]
-                town.to_store(self, wire.key, wire.backend, wire.login(self.node))
-            elif kind == "send" and rest[0] in self.floor.wires:
-                town.to_store(self, rest[0], self.floor.wires[rest[0]].backend, rest[1])
+                connection = self.core.connections[rest[0]]
+                fleet.to_store(
+                    self, connection.key, connection.backend, connection.login(self.node)
+                )
+            elif kind == "send" and rest[0] in self.core.connections:
+                fleet.to_store(self, rest[0], self.core.connections[rest[0]].backend, rest[1])
             elif kind == "send":
                 self.replies.setdefault(rest[0], []).extend(rest[1].decode().split("\r\n")[:-1])
             elif kind == "shut":
-                town.shut(self, rest[0])
+                fleet.shut(self, rest[0])
             elif (
                 kind == "spool"
                 and self.session
-                and not town.parted(self.region, town.region_of(self.session))
+                and not fleet.parted(self.region, fleet.region_of(self.session))
             ):
-                town.letters.append(
-                    (now + town.random.uniform(0.001, 0.03), self, self.session, rest[0])
+                fleet.letters.append(
+                    (now + fleet.random.uniform(0.001, 0.03), self, self.session, rest[0])
                 )
 
 
@@ -163,9 +165,9 @@
 
     address = ""
 
-    def __init__(self, town, number, database):
-        self.town, self.number, self.database = town, number, database
-        self.desk, self.key = None, number
+    def __init__(self, fleet, number, database):
+        self.fleet, self.number, self.database = fleet, number, database
+        self.pooler, self.key = None, number
         self.token, self.step, self.lines, self.count = "", 0, [], 0
         self.acked, self.doubtful, self.at = [], [], 0.0
 
@@ -174,53 +176,53 @@
         self.token = f"{self.database}-{self.number}-{self.count}"
 
     def tick(self, now):
-        if self.desk is None or self.desk not in self.town.desks:
+        if self.pooler is None or self.pooler not in self.fleet.poolers:
             if self.lines:  # the counter died with something asked
                 self.end("UNKNOWN" if self.commits() else "ROLLEDBACK", now)
-            ready = [desk for desk in self.town.desks if desk.floor.ready]
+            ready = [pooler for pooler in self.fleet.poolers if pooler.core.ready]
             if not ready:
                 return
-            self.desk = self.town.random.choice(ready)
-            self.desk.floor.session_opened(self.key, now, self.address)
+            self.pooler = self.fleet.random.choice(ready)
+            self.pooler.core.session_opened(self.key, now, self.address)
             self.say(now, f"LOGIN {self.database} me")
             return
-        replies = self.desk.replies.pop(self.key, [])
-        if self.key not in self.desk.floor.sessions and not any(
+        replies = self.pooler.replies.pop(self.key, [])
+        if self.key not in self.pooler.core.sessions and not any(
             line.startswith("ERR") for line in replies
         ):
             if self.lines:
                 self.end("UNKNOWN" if self.commits() else "ROLLEDBACK", now)
-            self.desk = None
+            self.pooler = None
             return
         errors = [line.split(" ")[1] for line in replies if line.startswith("ERR")]
         done = any(line.startswith("READY") for line in replies)
         if errors:
             self.end(errors[0], now)
-            self.desk.floor.session_closed(self.key, now)
-            self.desk = None
+            self.pooler.core.session_closed(self.key, now)
+            self.pooler = None
         elif done and self.lines:
             self.lines.pop(0)
             if not self.lines:
                 self.end("", now)
             else:
                 self.say(now, self.lines[0])
-        elif not self.lines and now >= self.at and not self.town.over:
+        elif not self.lines and now >= self.at and not self.fleet.over:
             if not self.token:
                 self.fresh()
-            put = f"QUERY {self.town.next_id()} PUT thing {self.token}"
-            whole = [
-                f"QUERY {self.town.next_id()} BEGIN",
+            put = f"QUERY {self.fleet.next_id()} PUT thing {self.token}"
+            complete = [
+                f"QUERY {self.fleet.next_id()} BEGIN",
                 put,
-                f"QUERY {self.town.next_id()} COMMIT",
+                f"QUERY {self.fleet.next_id()} COMMIT",
             ]
-            self.lines = [put] if self.number % 2 else whole
+            self.lines = [put] if self.number % 2 else complete
             self.say(now, self.lines[0])
 
     def commits(self):
         return self.lines and (self.lines[0].endswith("COMMIT") or len(self.lines) == 1)
 
     def say(self, now, line):
-        self.desk.floor.session_data(self.key, (line + "\r\n").encode(), now)
+        self.pooler.core.session_data(self.key, (line + "\r\n").encode(), now)
 
     def end(self, code, now):
         """What the try came to: a promise lets the same item start again, doubt does not."""
@@ -230,24 +232,24 @@
             self.doubtful.append(self.token)
         if not code or code in ("UNKNOWN", "TIMEDOUT"):
             self.token = ""
-        self.lines, self.at = [], now + self.town.random.uniform(0.02, 0.2)
+        self.lines, self.at = [], now + self.fleet.random.uniform(0.02, 0.2)
 
 
-class Town:
+class SimulatedFleet:
     """Two regions: registrars and counters north and south, a link between that may be cut."""
 
-    def __init__(self, seed, desks=4, clients=8, loss=0.02, databases=("books",)):
+    def __init__(self, seed, poolers=4, clients=8, loss=0.02, databases=("books",)):
         self.random = random.Random(seed)
-        self.land = Land(seed)
-        self.loss, self.cut, self.over, self.ids, self.made = loss, False, False, 0, 0
+        self.cluster = ControllerCluster(seed)
+        self.loss, self.partitioned, self.over, self.ids, self.made = loss, False, False, 0, 0
         self.post, self.letters = deque(), []
-        self.land.mail = self.mail
+        self.cluster.mail = self.mail
         self.stores = {
             name: Store(name, service) for name, service in (("p", "shelf-a"), ("q", "shelf-b"))
         }
-        self.desks = []
-        for _desk in range(desks):
-            self.start_desk()
+        self.poolers = []
+        for _desk in range(poolers):
+            self.start_pooler()
         self.clients = [
             Client(self, number, databases[number % len(databases)])
             for number in range(1, clients + 1)
@@ -257,117 +259,132 @@
         return "south" if ip == "10.0.0.3" else "north"
 
     def parted(self, one, other):
-        return self.cut and one != other
-
-    def split(self, cut):
-        self.cut = cut
-        self.land.cut = (
-            {frozenset(("10.0.0.3", ip)) for ip in ("10.0.0.1", "10.0.0.2")} if cut else set()
+        return self.partitioned and one != other
+
+    def split(self, partitioned):
+        self.partitioned = partitioned
+        self.cluster.partitioned = (
+            {frozenset(("10.0.0.3", ip)) for ip in ("10.0.0.1", "10.0.0.2")}
+            if partitioned
+            else set()
         )
 
-    def start_desk(self, region=""):
+    def start_pooler(self, region=""):
         self.made += 1
-        self.desks.append(Desk(self, self.made, region or ("south" if self.made % 2 else "north")))
-        return self.desks[-1]
+        self.poolers.append(
+            SimulatedPooler(self, self.made, region or ("south" if self.made % 2 else "north"))
+        )
+        return self.poolers[-1]
 
-    def kill_desk(self, desk):
-        self.desks.remove(desk)
-        self.post = deque(entry for entry in self.post if entry[1] is not desk or entry[0] == "in")
+    def kill_pooler(self, pooler):
+        self.poolers.remove(pooler)
+        self.post = deque(
+            entry for entry in self.post if entry[1] is not pooler or entry[0] == "in"
+        )
 
     def next_id(self):
         self.ids += 1
         return f"{self.ids:016x}"
 
-    def to_store(self, desk, key, name, data):
+    def to_store(self, pooler, key, name, data):
         """Bytes for a backend: they arrive, and their answer may be lost with the wire."""
         for line in data.decode().split("\r\n")[:-1]:
-            self.post.append(("in", desk, key, name, line, self.land.now + WAY_S))
+            self.post.append(("in", pooler, key, name, line, self.cluster.now + WAY_S))
 
-    def shut(self, desk, key):
+    def shut(self, pooler, key):
         for store in self.stores.values():
-            store.open.pop((desk.life, key), None)
+            store.open.pop((pooler.incarnation, key), None)
 
     def mail(self, ip, node, message):
         """A registrar's message for a counter."""
-        desk = next((desk for desk in self.desks if desk.node == node), None)
+        pooler = next((pooler for pooler in self.poolers if pooler.node == node), None)
         if (
-            desk is None
-            or self.parted(desk.region, self.region_of(ip))
+            pooler is None
+            or self.parted(pooler.region, self.region_of(ip))
             or self.random.random() < self.loss
         ):
             return
-        if isinstance(message, Held):
-            delivery.intent_held(desk.floor, message, self.land.now)
-        elif message.life == desk.life:
-            desk.floor.spooling.note(message.database, message.number)
+        if isinstance(message, IntentStored):
+            delivery.handle_intent_stored(pooler.core, message, self.cluster.now)
+        elif message.incarnation == pooler.incarnation:
+            pooler.core.delivery.note(message.database, message.number)
 
     def carry_letters(self, now):
         """What counters tell registrars; some of it is lost."""
         due = [letter for letter in self.letters if letter[0] <= now]
         self.letters = [letter for letter in self.letters if letter[0] > now]
-        for _at, desk, ip, message in due:
+        for _at, pooler, ip, message in due:
             if (
-                ip in self.land.offices
-                and not self.parted(desk.region, self.region_of(ip))
+                ip in self.cluster.cores
+                and not self.parted(pooler.region, self.region_of(ip))
                 and self.random.random() >= self.loss
             ):
-                take = take_intent if isinstance(message, Intent) else take_verdict
-                take(self.land.offices[ip], desk.node, message, now)
+                log = self.cluster.cores[ip].delivery
+                is_intent = isinstance(message, DeliveryIntent)
+                take = log.take_intent if is_intent else log.take_outcome
+                take(pooler.node, message, now)
 
     def step(self):
-        land = self.land
-        land.step()
-        now = land.now
-        for one in land.offices.values():
-            if not one.board.records:
-                one.board.records.update(
+        cluster = self.cluster
+        cluster.step()
+        now = cluster.now
+        for one in cluster.cores.values():
+            if not one.cache.records:
+                one.cache.records.update(
                     (
                         name,
-                        Record(name, store.service, f"10.0.2.{place}:80", "a", 9, role="primary"),
+                        BackendRecord(
+                            name, store.service, f"10.0.2.{place}:80", "a", 9, role="primary"
+                        ),
                     )
                     for place, (name, store) in enumerate(self.stores.items(), 1)
                 )
-                one.board.forget(())
+                one.cache.refresh_records_digest()
         due = [entry for entry in self.post if entry[5] <= now]
         self.post = deque(entry for entry in self.post if entry[5] > now)
-        for kind, desk, key, name, payload, _at in due:
+        for kind, pooler, key, name, payload, _at in due:
             if kind == "in":
                 lost = self.random.random() < self.loss
-                answer = self.stores[name].hear((desk.life, key), payload)
+                answer = self.stores[name].receive((pooler.incarnation, key), payload)
                 if lost and not payload.startswith("LOGIN"):
-                    self.post.append(("lost", desk, key, name, "", now + WAY_S))
+                    self.post.append(("lost", pooler, key, name, "", now + WAY_S))
                 elif answer:
-                    self.post.append(("out", desk, key, name, answer, now + WAY_S))
-            elif desk in self.desks and key in desk.floor.wires:
+                    self.post.append(("out", pooler, key, name, answer, now + WAY_S))
+            elif pooler in self.poolers and key in pooler.core.connections:
                 if kind == "lost":
-                    connection_loss.wire_lost(desk.floor, desk.floor.wires[key], "cut", now)
+                    connection_loss.connection_lost(
+                        pooler.core, pooler.core.connections[key], "cut", now
+                    )
                 else:
-                    server_results.wire_data(
-                        desk.floor, key, "".join(line + "\r\n" for line in payload).encode(), now
+                    server_results.receive_data(
+                        pooler.core, key, "".join(line + "\r\n" for line in payload).encode(), now
                     )
-        for desk in list(self.desks):
+        for pooler in list(self.poolers):
             if self.random.random() < 0.3:
-                desk.take_news(now)
-            lapsed = not desk.lease.held(now)
-            admission.take_access(desk.floor, desk.board.access, lapsed, now)
-            desk.floor.take_lanes(
-                desk.board.lanes.databases, desk.sure and not lapsed, self.used(desk) or lapsed, now
+                pooler.apply_update(now)
+            lapsed = not pooler.lease.held(now)
+            admission.take_access(pooler.core, pooler.cache.access, lapsed, now)
+            pooler.core.apply_priority(
+                pooler.cache.priority.databases,
+                pooler.is_current and not lapsed,
+                self.used(pooler) or lapsed,
+                now,
             )
-            rows = desk.board.listeners
-            desk.floor.spooling.listen(
+            rows = pooler.cache.subscribers
+            pooler.core.delivery.listen(
                 [database for _name, database, _state in rows.rows],
-                bool(rows.generation) and not desk.sure,
+                bool(rows.version) and not pooler.is_current,
             )
-            timers.tick(desk.floor, now)
-            desk.act(now)
+            timers.tick(pooler.core, now)
+            pooler.act(now)
         self.carry_letters(now)
         for client in self.clients:
             client.tick(now)
-        for desk in self.desks:
-            desk.act(now)
+        for pooler in self.poolers:
+            pooler.act(now)
 
-    def used(self, desk):
-        found = desk.floor.blueprint
+    def used(self, pooler):
+        found = pooler.core.configuration
         return bool(found and found.limits.guarded)
 
     def run(self, seconds):
@@ -375,7 +392,7 @@
             self.step()
 
     def decide(self, ip, key, change):
-        proposal = self.land.offices[ip].propose(key, change, self.land.now)
+        proposal = self.cluster.cores[ip].propose(key, change, self.cluster.now)
         while proposal.outcome is None:
             self.step()
         return proposal.outcome
--- a/tests/trial.py
+++ b/tests/trial.py
@@ -5,20 +5,20 @@
 import subprocess
 import sys
 import time
-from collections import Counter
+from collections import Pooler
 
 import curio
 
 from sumacloom.line_protocol import LineSplitter, encode
 from sumacloom.transport.link import dial
 
-from .standins import BLUEPRINT, CTL, FE, ROOT, ZONES, Service, start
+from .standins import CONFIGURATION, CTL, FE, ROOT, ZONES, Service, start
 
-SENT: Counter = Counter()  # statements by what became of them
+SENT: Pooler = Pooler()  # statements by what became of them
 
 
 async def talk(number: int, database: str, *texts: str) -> list[str]:
-    """A client's session with a counter: every line of its replies."""
+    """A client's session with a pooler: every line of its replies."""
     lines, answers = [], []
     try:
         async with curio.timeout_after(5.0):
@@ -46,7 +46,7 @@
 
 async def show(number: int, database: str, *texts: str) -> None:
     """A session as a person would see it."""
-    print(f"trial: a client of counter {number}, database {database}: {'; '.join(texts)}")
+    print(f"trial: a client of pooler {number}, database {database}: {'; '.join(texts)}")
     for line in await talk(number, database, *texts):
         print(f"    {line}")
 
@@ -118,8 +118,8 @@
         if row["generation"] == 1
     }
     if any(
-        counted[f"counter-{number}", "desk"] != (1, 0, 2)
-        or counted[f"counter-{number}", "others"] != (0, 1, 0)
+        counted[f"pooler-{number}", "desk"] != (1, 0, 2)
+        or counted[f"pooler-{number}", "others"] != (0, 1, 0)
         for number in (1, 2, 3)
     ):
         raise SystemExit(f"trial: the counts don't agree with what was sent: {counted}")
@@ -168,7 +168,7 @@
     """A short day."""
     path = os.path.join(folder, "blueprint.json")
     with open(path, "w", encoding="utf-8") as file:
-        json.dump(BLUEPRINT, file)
+        json.dump(CONFIGURATION, file)
 
     async def served():
         return (await talk(1, "books", "PUT a one"))[-2:-1] != [] and "DONE" in str(
@@ -198,10 +198,10 @@
     await try_access(folder)
     await try_pooling()
     wrong_way = {
-        **BLUEPRINT,
+        **CONFIGURATION,
         "ver": 5,
-        "svcs": [*BLUEPRINT["svcs"], {"name": "elsewhere"}],
-        "routes": [{**BLUEPRINT["routes"][0], "svc": "elsewhere"}, BLUEPRINT["routes"][1]],
+        "svcs": [*CONFIGURATION["svcs"], {"name": "elsewhere"}],
+        "routes": [{**CONFIGURATION["routes"][0], "svc": "elsewhere"}, CONFIGURATION["routes"][1]],
     }
     with open(path, "w", encoding="utf-8") as file:
         json.dump(wrong_way, file)
@@ -249,8 +249,8 @@
     await service.backends[0].die()
     await until("writes are served after the primary died", served)
     await show(2, "books", "FETCH a", "PUT a after", "FETCH a")
-    processes["registrar-1"].kill()
-    processes["registrar-1"].wait()
+    processes["controller-1"].kill()
+    processes["controller-1"].wait()
     await fleet("evacuate", "zone-b")
     await fleet("status")
     await fleet("restore", "zone-b")
@@ -261,9 +261,9 @@
     )
     if 0 in wrong:
         raise SystemExit("trial: a wrong command ended well")
-    processes["registrar-1"] = start(folder, "registrar", 1)
+    processes["controller-1"] = start(folder, "controller", 1)
 
-    async def whole():
+    async def complete():
         process = await curio.run_in_thread(
             lambda: subprocess.run(
                 [
@@ -272,7 +272,7 @@
                     "sumacloom",
                     "fleet",
                     "query",
-                    "SELECT count(*) AS n FROM registrars WHERE votes",
+                    "SELECT count(*) AS n FROM controllers WHERE votes",
                     "--json",
                     "--at",
                     f"127.0.0.2:{CTL}",
@@ -284,7 +284,7 @@
         )
         return b'"n": 3' in process.stdout
 
-    await until("the killed registrar votes again", whole)
+    await until("the killed controller votes again", complete)
     print(
         "trial: statements",
         ", ".join(f"{count} {what}" for what, count in SENT.most_common()),
