--- a/sumacloom/consensus/contact.py
+++ b/sumacloom/consensus/contact.py
@@ -6,7 +6,7 @@
 """
 
 from collections.abc import Mapping
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 from sumacloom.consensus.proposal_number import NO_PROPOSAL, ProposalNumber
 
@@ -22,6 +22,13 @@
     numbers: Mapping[str, ProposalNumber]
 
 
+class PeerState(NamedTuple):
+    """The newest heartbeat of a peer, and when it came."""
+
+    received_at: float
+    heartbeat: Any
+
+
 class PeerContact:
     """Numbers our heartbeats, and knows how old each peer's contact with us is."""
 
--- a/sumacloom/consensus/node.py
+++ b/sumacloom/consensus/node.py
@@ -10,9 +10,8 @@
 from typing import Any, NamedTuple
 
 from sumacloom.consensus import storage
-from sumacloom.consensus.acceptor import Acceptor
 from sumacloom.consensus.codec import Change, decode, unchanged
-from sumacloom.consensus.contact import PeerContact
+from sumacloom.consensus.contact import PeerContact, PeerState
 from sumacloom.consensus.messages import (
     Accept,
     Accepted,
@@ -36,8 +35,8 @@
 from sumacloom.consensus.recovery import INCARNATION_BITS, StateRecovery
 from sumacloom.consensus.storage import Log, Storage, WriteBatch
 from sumacloom.consensus.validation import is_credible
-from sumacloom.errors import ForeignLogError, RecoveringError
-from sumacloom.settings import Settings
+from sumacloom.errors import RecoveringError
+from sumacloom.settings import Settings, seed_hosts
 
 logger = logging.getLogger(__name__)
 
@@ -58,13 +57,6 @@
     message: Any
 
 
-class PeerState(NamedTuple):
-    """The newest heartbeat of a peer, and when it came."""
-
-    received_at: float
-    heartbeat: Any
-
-
 class ConsensusNode:
     """One voter, or one that would vote.
 
@@ -109,7 +101,9 @@
             StateRequest: self.recovery.handle_request,
             StateTransfer: self.recovery.handle_transfer,
         }
-        self.acceptor = self._open_acceptor()
+        self.acceptor = storage.open_acceptor(
+            self.storage, self.proposal_numbers, self.seeds, settings.bootstrap, self.nonce
+        )
 
     # ------------------------------------------------------------ for whoever builds on this
     def apply_committed(self, key: str, value: bytes, now: float) -> None:
@@ -132,32 +126,6 @@
         return storage.snapshot_records(self.acceptor)
 
     # ------------------------------------------------------------ disk
-    def _open_acceptor(self) -> Acceptor:
-        """The acceptor as the log left it; at the very first start of the system, a new one.
-
-        Raises:
-            ForeignLogError: the log is not ours.
-        """
-        wal = self.storage.wal
-        acceptor = storage.restore_acceptor(wal.payloads, self.storage.extension_records)
-        if isinstance(wal.damage, ForeignLogError):
-            raise wal.damage
-        acceptor.recovered = acceptor.recovered and not wal.damage
-        for state in acceptor.registers.values():
-            self.proposal_numbers.observe(state.promised)
-        self.proposal_numbers.observe(acceptor.promised_floor)
-        if not acceptor.recovered:
-            storage.reset_state(acceptor, self.seeds)
-            if self.settings.bootstrap and wal.fresh:
-                storage.bootstrap(acceptor, self.seeds, self.nonce)
-                logger.info("first start, the voters are %s", ", ".join(self.seeds))
-                self.storage.write(storage.snapshot_records(acceptor))
-            else:
-                why = "the disk is empty" if wal.fresh else "the log is incomplete"
-                logger.warning("%s: the state is recovered from the voters before voting", why)
-        wal.payloads = []
-        return acceptor
-
     def write(self, keys: list[str], promise_only: bool = False) -> None:
         """Queues the state of these keys for the disk."""
         if not keys:
@@ -428,12 +396,3 @@
             self.completed_at = now
             self.complete_uncommitted(now)
         self.reconfiguration.on_timer(now)
-
-
-def seed_hosts(seeds: list[str]) -> list[str]:
-    """The hosts of seed addresses, each once.
-
-    >>> seed_hosts(["10.0.0.1:80", "10.0.0.1:81", "10.0.0.2:80"])
-    ['10.0.0.1', '10.0.0.2']
-    """
-    return list(dict.fromkeys(seed.rpartition(":")[0] for seed in seeds))
--- a/sumacloom/consensus/storage.py
+++ b/sumacloom/consensus/storage.py
@@ -8,16 +8,19 @@
 from disks of earlier releases and never change.
 """
 
+import logging
 from collections.abc import Callable
 from typing import Any, NamedTuple, Protocol
 
 import msgspec
 
 from sumacloom.consensus.acceptor import Acceptor, RegisterState
-from sumacloom.consensus.proposal_number import NO_PROPOSAL, ProposalNumber
+from sumacloom.consensus.proposal_number import NO_PROPOSAL, ProposalNumber, ProposalNumberSource
 from sumacloom.consensus.quorum import INITIAL_VERSION, QuorumConfiguration
 from sumacloom.errors import ForeignLogError, SumacloomError
 
+logger = logging.getLogger(__name__)
+
 FIRST_RETRY_S, MAX_RETRY_S = 1.0, 30.0  # between attempts at a snapshot that the disk refuses
 NEVER = -1e9
 
@@ -268,3 +271,43 @@
     acceptor.quorum = QuorumConfiguration(INITIAL_VERSION, (), tuple(seeds))
     acceptor.incarnation = incarnation
     acceptor.recovered = True
+
+
+def open_acceptor(
+    storage: Storage,
+    proposal_numbers: ProposalNumberSource,
+    seeds: list[str],
+    may_bootstrap: bool,
+    incarnation: int,
+) -> Acceptor:
+    """The acceptor as the log left it; at the very first start of the system, a new one.
+
+    Args:
+        storage: the log, just opened.
+        proposal_numbers: learns of the numbers that the log holds.
+        seeds: the first voters.
+        may_bootstrap: whether the settings allow a first start.
+        incarnation: tells this incarnation of the process from others.
+
+    Raises:
+        ForeignLogError: the log is not ours.
+    """
+    wal = storage.wal
+    acceptor = restore_acceptor(wal.payloads, storage.extension_records)
+    if isinstance(wal.damage, ForeignLogError):
+        raise wal.damage
+    acceptor.recovered = acceptor.recovered and not wal.damage
+    for state in acceptor.registers.values():
+        proposal_numbers.observe(state.promised)
+    proposal_numbers.observe(acceptor.promised_floor)
+    if not acceptor.recovered:
+        reset_state(acceptor, seeds)
+        if may_bootstrap and wal.fresh:
+            bootstrap(acceptor, seeds, incarnation)
+            logger.info("first start, the voters are %s", ", ".join(seeds))
+            storage.write(snapshot_records(acceptor))
+        else:
+            why = "the disk is empty" if wal.fresh else "the log is incomplete"
+            logger.warning("%s: the state is recovered from the voters before voting", why)
+    wal.payloads = []
+    return acceptor
--- a/sumacloom/controller/admin/tables.py
+++ b/sumacloom/controller/admin/tables.py
@@ -81,9 +81,9 @@
 
     async def _pooler_reports(self) -> list[dict[str, Any]]:
         process, asked_at = self._process, self._process.now()
-        links = list(process.poolers.values())
+        links = list(process.sessions.links.values())
         for link in links:
-            process.send_heartbeat(link, asked_at, want_report=True)
+            process.sessions.send_heartbeat(link, asked_at, want_report=True)
         while process.now() - asked_at < POOLERS_S:
             if all(link.reported_at >= asked_at for link in links):
                 break
@@ -262,5 +262,5 @@
         """Sets the level here and at the poolers in session here."""
         set_level(level)
         logger.info("the log level is %s", level)
-        for link in self._process.poolers.values():
-            self._process.send_heartbeat(link, self._process.now(), log_level=level)
+        for link in self._process.sessions.links.values():
+            self._process.sessions.send_heartbeat(link, self._process.now(), log_level=level)
--- a/sumacloom/controller/core.py
+++ b/sumacloom/controller/core.py
@@ -11,9 +11,9 @@
 
 from sumacloom.consensus import storage
 from sumacloom.consensus.codec import decode
-from sumacloom.consensus.contact import newest_numbers
+from sumacloom.consensus.contact import PeerState, newest_numbers
 from sumacloom.consensus.messages import Committed, QuorumChanged
-from sumacloom.consensus.node import KNOWN_S, ConsensusNode, PeerState
+from sumacloom.consensus.node import KNOWN_S, ConsensusNode
 from sumacloom.consensus.proposal_number import ProposalNumber
 from sumacloom.consensus.quorum import QuorumConfiguration
 from sumacloom.consensus.storage import Log
--- a/sumacloom/controller/failover/executor.py
+++ b/sumacloom/controller/failover/executor.py
@@ -8,19 +8,18 @@
 import curio
 
 from sumacloom.controller.failover import lease_confirmation
-from sumacloom.controller.failover.lease_confirmation import HeldLease
-from sumacloom.controller.failover.plans import (
+from sumacloom.controller.failover.backend_status import BackendStatus, parse_status
+from sumacloom.controller.failover.commands import (
     AnnouncePrimary,
     BackendQuery,
-    BackendStatus,
     Command,
     ListBackends,
-    Plan,
     Promote,
     RaiseFencingToken,
     Wait,
-    parse_status,
 )
+from sumacloom.controller.failover.lease_confirmation import HeldLease
+from sumacloom.controller.failover.plans import Plan
 from sumacloom.controller.registers import FAILOVER_LEASE_KEY
 from sumacloom.controller.registers.lease import acquire_lease
 from sumacloom.errors import SumacloomError
--- /dev/null
+++ b/sumacloom/controller/failover/plan_selection.py
@@ -0,0 +1,77 @@
+"""Decides which plan a service needs, from what is known of it at a moment."""
+
+from collections.abc import Callable
+from typing import NamedTuple
+
+from sumacloom.controller.failover.plans import Plan, fail_over, release_replicas, switch_over
+from sumacloom.transport.updates import BackendRecord
+
+# names of plans, as logs and the admin API show them
+FAIL_OVER, SWITCH_OVER, RELEASE_REPLICAS = "replace_dead", "hand_over", "look_over"
+
+
+class SelectedPlan(NamedTuple):
+    """A plan and its name."""
+
+    name: str
+    plan: Plan
+
+
+class ServiceView(NamedTuple):
+    """What is known of one service at a moment.
+
+    Attributes:
+        records: its backends.
+        drained_zones: zones whose backends get nothing more.
+        unreachable_since: since when a quorum can't reach a backend, by its name; None if it can.
+        sync_acks: how many replicas must have received a commit before it is answered.
+        unreachable_s: how long a primary must be unreachable before it is replaced.
+        without_primary_since: since when no backend says that it is the primary; None if one does.
+        unclear: whether an earlier call for this service may yet take effect.
+    """
+
+    service: str
+    records: list[BackendRecord]
+    drained_zones: list[str]
+    unreachable_since: Callable[[str], float | None]
+    sync_acks: int
+    unreachable_s: float
+    without_primary_since: float | None
+    unclear: bool = False
+
+
+def select_plan(view: ServiceView, now: float) -> SelectedPlan | None:
+    """The plan that a service needs now, if any."""
+    present = [record for record in view.records if not record.is_gone]
+    primaries = [record for record in present if record.is_primary]
+    replicas = [record for record in present if not record.is_primary]
+    up = [record for record in replicas if record.phase == "up"]
+    elsewhere = [record for record in up if record.zone not in view.drained_zones]
+    good = elsewhere or up
+    if not good:
+        return None
+    # with sync_acks every replica counts, since any may hold the newest commit
+    candidates = replicas if view.sync_acks else good
+    service, sync_acks, unclear = view.service, view.sync_acks, view.unclear
+    if not primaries:
+        since = view.without_primary_since
+        if since is None or now - since < view.unreachable_s:
+            return None
+        return SelectedPlan(FAIL_OVER, fail_over(service, None, candidates, sync_acks, unclear))
+    living = [record for record in primaries if view.unreachable_since(record.name) is None]
+    if not living:
+        times = [view.unreachable_since(record.name) for record in primaries]
+        if now - max(time for time in times if time is not None) < view.unreachable_s:
+            return None
+        plan = fail_over(service, primaries[0], candidates, sync_acks, unclear)
+        return SelectedPlan(FAIL_OVER, plan)
+    leaver = living[0]
+    if len(living) == 1 and leaver.phase == "draining":
+        plan = switch_over(service, leaver, candidates, sync_acks, unclear)
+        return SelectedPlan(SWITCH_OVER, plan)
+    if len(living) == 1 and leaver.zone in view.drained_zones and elsewhere:
+        plan = switch_over(service, leaver, elsewhere, sync_acks, unclear)
+        return SelectedPlan(SWITCH_OVER, plan)
+    if unclear and sync_acks:
+        return SelectedPlan(RELEASE_REPLICAS, release_replicas(service, present))
+    return None
--- a/sumacloom/controller/failover/plans.py
+++ b/sumacloom/controller/failover/plans.py
@@ -5,117 +5,40 @@
 the primary now, or "" if it changed nothing.
 """
 
-from collections.abc import Callable, Generator, Mapping
-from typing import Any, NamedTuple
-
+from collections.abc import Generator, Mapping
+from typing import Any
+
+from sumacloom.controller.failover.backend_status import (
+    BackendStatus,
+    Statuses,
+    current_primary,
+    is_near,
+    most_advanced,
+)
+from sumacloom.controller.failover.commands import (
+    AnnouncePrimary,
+    BackendQuery,
+    Command,
+    ListBackends,
+    Promote,
+    RaiseFencingToken,
+    Wait,
+)
 from sumacloom.transport.updates import BackendRecord
-from sumacloom.types import Position, parse_position
+from sumacloom.types import Position
 
 CATCH_UP_ATTEMPTS = 20
 PENDING_S = 2.0  # how long poolers hold statements for a new primary
 PRIMARY_ATTEMPTS = 40
-MAX_BEHIND, MAX_LAG_MS = 300, 1000.0  # further back, a replica would not catch up in time
 CATCH_UP_POLL_S = 0.02
 PRIMARY_POLL_S = 0.1
 RETRY_S = 0.2
-STATUS_FIELDS = 7
 RETRYABLE_STATUSES = (408, 429)
 
-# names of plans, as logs and the admin API show them
-FAIL_OVER, SWITCH_OVER, RELEASE_REPLICAS = "replace_dead", "hand_over", "look_over"
-
-
-class BackendQuery(NamedTuple):
-    """A text for a backend; its result is a BackendStatus, an error code, or None for silence."""
-
-    backend: BackendRecord
-    text: str
-    patient: bool = False  # whether the batch waits for a silent backend to the timeout
-
-
-class Promote(NamedTuple):
-    """A call to the platform; its result is the HTTP status, 0 for silence, or None if it never left."""
-
-    service: str
-    backend: str
-
-
-class Wait(NamedTuple):
-    """A pause in seconds."""
-
-    seconds: float
-
-
-class AnnouncePrimary(NamedTuple):
-    """Tells every pooler that a new primary is on its way."""
-
-    service: str
-    seconds: float
-
-
-class RaiseFencingToken(NamedTuple):
-    """Asks for a token above that of an earlier unclear call; its result is whether that is committed."""
-
-    service: str
-
-
-class ListBackends(NamedTuple):
-    """Asks the registry; its result is the set of names of the service's replicas that are there."""
-
-    service: str
-
-
-Command = BackendQuery | Promote | Wait | AnnouncePrimary | RaiseFencingToken | ListBackends
 Results = Mapping[Any, Any]
 Plan = Generator[list[Command], Results, str]
 
 
-class BackendStatus(NamedTuple):
-    """The row that STAT, PAUSE, CONT and STEPDOWN answer with.
-
-    >>> parse_status("replica 3 3.1209 0 12 2 17").position
-    Position(term=3, number=1209)
-    """
-
-    role: str
-    term: int
-    position: Position
-    paused_term: int
-    lag_ms: float
-
-    @property
-    def is_primary(self) -> bool:
-        """Whether the backend says that it is the primary."""
-        return self.role == "primary"
-
-
-Statuses = dict[BackendRecord, BackendStatus]
-
-
-class SelectedPlan(NamedTuple):
-    """A plan and its name."""
-
-    name: str
-    plan: Plan
-
-
-def parse_status(text: str) -> BackendStatus | None:
-    """Parses the row; None if it is something else.
-
-    >>> parse_status("nonsense") is None
-    True
-    """
-    words = text.split()
-    if len(words) < STATUS_FIELDS or not words[1].isdigit():
-        return None
-    position = parse_position(words[2])
-    if position is None:
-        return None
-    paused_term = int(words[3]) if words[3].isdigit() else 0
-    lag_ms = float(words[4]) if words[4].replace(".", "", 1).isdigit() else 0.0
-    return BackendStatus(words[0], int(words[1]), position, paused_term, lag_ms)
-
-
 def statuses_of(results: Results) -> Statuses:
     """The backends that answered with a status."""
     return {
@@ -125,36 +48,6 @@
     }
 
 
-def most_advanced(statuses: Statuses) -> BackendRecord:
-    """The backend with the furthest log; among equals the one that lags least."""
-
-    def rank(backend: BackendRecord) -> tuple[Position, float, str]:
-        status = statuses[backend]
-        return (status.position, -status.lag_ms, backend.name)
-
-    return max(statuses, key=rank)
-
-
-def current_primary(statuses: Statuses) -> BackendRecord | None:
-    """The backend that says it is the primary, if it is of the newest term."""
-    newest = max((status.term for status in statuses.values()), default=0)
-    for backend, status in statuses.items():
-        if status.is_primary and status.term == newest:
-            return backend
-    return None
-
-
-def is_near(status: BackendStatus, primary: BackendStatus) -> bool:
-    """Whether a replica is near enough to its primary to catch up at once.
-
-    >>> is_near(parse_status("replica 3 3.8 0 20 0 0"), parse_status("primary 3 3.9 0 0 0 0"))
-    True
-    """
-    behind = primary.position.number - status.position.number
-    same_term = status.position.term == primary.position.term
-    return same_term and behind <= MAX_BEHIND and status.lag_ms <= MAX_LAG_MS
-
-
 # ---------------------------------------------------------------- steps
 def promote(service: str, target: BackendRecord) -> Generator[list[Command], Results, bool | None]:
     """Calls the platform: True if the backend is the primary now, False if not, None if unclear."""
@@ -356,64 +249,3 @@
         queries: list[Command] = [BackendQuery(backend, "STAT") for backend in replicas]
         statuses = statuses_of((yield queries)) or statuses
     return statuses
-
-
-# ---------------------------------------------------------------- which plan
-class ServiceView(NamedTuple):
-    """What is known of one service at a moment.
-
-    Attributes:
-        records: its backends.
-        drained_zones: zones whose backends get nothing more.
-        unreachable_since: since when a quorum can't reach a backend, by its name; None if it can.
-        sync_acks: how many replicas must have received a commit before it is answered.
-        unreachable_s: how long a primary must be unreachable before it is replaced.
-        without_primary_since: since when no backend says that it is the primary; None if one does.
-        unclear: whether an earlier call for this service may yet take effect.
-    """
-
-    service: str
-    records: list[BackendRecord]
-    drained_zones: list[str]
-    unreachable_since: Callable[[str], float | None]
-    sync_acks: int
-    unreachable_s: float
-    without_primary_since: float | None
-    unclear: bool = False
-
-
-def select_plan(view: ServiceView, now: float) -> SelectedPlan | None:
-    """The plan that a service needs now, if any."""
-    present = [record for record in view.records if not record.is_gone]
-    primaries = [record for record in present if record.is_primary]
-    replicas = [record for record in present if not record.is_primary]
-    up = [record for record in replicas if record.phase == "up"]
-    elsewhere = [record for record in up if record.zone not in view.drained_zones]
-    good = elsewhere or up
-    if not good:
-        return None
-    # with sync_acks every replica counts, since any may hold the newest commit
-    candidates = replicas if view.sync_acks else good
-    service, sync_acks, unclear = view.service, view.sync_acks, view.unclear
-    if not primaries:
-        since = view.without_primary_since
-        if since is None or now - since < view.unreachable_s:
-            return None
-        return SelectedPlan(FAIL_OVER, fail_over(service, None, candidates, sync_acks, unclear))
-    living = [record for record in primaries if view.unreachable_since(record.name) is None]
-    if not living:
-        times = [view.unreachable_since(record.name) for record in primaries]
-        if now - max(time for time in times if time is not None) < view.unreachable_s:
-            return None
-        plan = fail_over(service, primaries[0], candidates, sync_acks, unclear)
-        return SelectedPlan(FAIL_OVER, plan)
-    leaver = living[0]
-    if len(living) == 1 and leaver.phase == "draining":
-        plan = switch_over(service, leaver, candidates, sync_acks, unclear)
-        return SelectedPlan(SWITCH_OVER, plan)
-    if len(living) == 1 and leaver.zone in view.drained_zones and elsewhere:
-        plan = switch_over(service, leaver, elsewhere, sync_acks, unclear)
-        return SelectedPlan(SWITCH_OVER, plan)
-    if unclear and sync_acks:
-        return SelectedPlan(RELEASE_REPLICAS, release_replicas(service, present))
-    return None
--- a/sumacloom/controller/failover/supervisor.py
+++ b/sumacloom/controller/failover/supervisor.py
@@ -6,6 +6,7 @@
 import curio
 
 from sumacloom.controller.failover import lease_confirmation
+from sumacloom.controller.failover.commands import BackendQuery
 from sumacloom.controller.failover.executor import (
     PROBE_TIMEOUT_S,
     REFUSED,
@@ -14,12 +15,7 @@
     UnclearCall,
 )
 from sumacloom.controller.failover.lease_confirmation import HeldLease
-from sumacloom.controller.failover.plans import (
-    BackendQuery,
-    SelectedPlan,
-    ServiceView,
-    select_plan,
-)
+from sumacloom.controller.failover.plan_selection import SelectedPlan, ServiceView, select_plan
 from sumacloom.transport.updates import BackendRecord
 
 if TYPE_CHECKING:
--- a/sumacloom/controller/process.py
+++ b/sumacloom/controller/process.py
@@ -10,7 +10,6 @@
 
 from sumacloom import http
 from sumacloom.consensus.codec import Change
-from sumacloom.consensus.node import seed_hosts
 from sumacloom.consensus.proposal import Proposal
 from sumacloom.controller.admin.router import handle
 from sumacloom.controller.admin.tables import TableService
@@ -19,9 +18,17 @@
 from sumacloom.controller.failover.executor import CommandExecutor
 from sumacloom.controller.failover.supervisor import FailoverSupervisor
 from sumacloom.controller.pooler_link import PoolerLink
+from sumacloom.controller.pooler_sessions import PoolerSessions
 from sumacloom.controller.stall_detector import StallDetector
 from sumacloom.errors import SumacloomError
-from sumacloom.settings import CONTROLLER, FileWatch, Settings, read_settings, split_address
+from sumacloom.settings import (
+    CONTROLLER,
+    FileWatch,
+    Settings,
+    read_settings,
+    seed_hosts,
+    split_address,
+)
 from sumacloom.signals import Signals
 from sumacloom.transport.link import (
     Link,
@@ -34,13 +41,7 @@
 from sumacloom.transport.messages import (
     CONTROLLER_ROLE,
     POOLER_ROLE,
-    ControllerHeartbeat,
-    DeliveryIntent,
-    DeliveryOutcome,
-    Follow,
     Hello,
-    Message,
-    PoolerHeartbeat,
     PrimaryPending,
     SetLogLevel,
     TablesReply,
@@ -51,12 +52,9 @@
 logger = logging.getLogger(__name__)
 
 TICK_S = 0.05
-FAN_OUT = 4  # how many poolers of a zone, or of a parent, take their updates directly
 PEER_DIAL_S = 0.35
 REDIAL_S = 0.1
 QUORUM_CHANGE_S = 0.4  # a change of standing is logged once it has lasted so long
-COUNT_EVERY_S = 0.1
-SUSPECT_REPEAT_S = 0.5
 LEAVE_SHARE = 2 / 3  # of graceS: how long a stopped controller stays at most for what depends on it
 WAKING_S = 0.5  # within it, all that came while the process was stalled has been read
 MAX_CONFIGURATION_BYTES = 4 << 20
@@ -76,7 +74,7 @@
     Attributes:
         outgoing: by peer address, the links that we dialled.
         incoming: by peer address, the links that a peer dialled; used until ours stands.
-        poolers: by node, the links of poolers in session here.
+        sessions: the poolers in session here.
         background: coroutine functions to be started beside the links.
     """
 
@@ -93,14 +91,13 @@
         self.tables = TableService(self)
         self.outgoing: dict[str, Link] = {}
         self.incoming: dict[str, Link] = {}
-        self.poolers: dict[str, PoolerLink] = {}
         self.background: list[Callable[[], Any]] = []
         self.signals = Signals().install()
         self.port = settings.port_range[0]
+        self.sessions = PoolerSessions(self.core, settings, self.port)
         self._watch = FileWatch()
         self._dialled: set[str] = set()
         self._waiters: list[Waiter] = []
-        self._member_count, self._counted_at = 1, NEVER
         self._was_in_quorum = False
         self._standing_changed_at: float | None = None
         self._in_quorum_at = self.now()
@@ -121,14 +118,16 @@
         """Sends what the core put out, wakes who waits for an outcome, passes updates on."""
         outbox, self.core.outbox = self.core.outbox, []
         for peer, message in outbox:
-            link = self.outgoing.get(peer) or self.incoming.get(peer) or self.poolers.get(peer)
+            link = (
+                self.outgoing.get(peer) or self.incoming.get(peer) or self.sessions.links.get(peer)
+            )
             if link:
                 link.send(message)
         await self._wake_waiters()
         background, self.background = self.background, []
         for function in background:
             await curio.spawn(function, daemon=True)
-        self._send_updates()
+        self.sessions.send_updates()
         await self.disk_writer.start()
 
     async def _wake_waiters(self) -> None:
@@ -140,19 +139,6 @@
                 await waiter.event.set()
         self._waiters = still_waiting
 
-    def _send_updates(self) -> None:
-        """Sends the poolers that take their updates from us what they lack."""
-        cache, digest = self.core.cache, self.core.cache.digest()
-        for link in self.poolers.values():
-            if link.digest is None or link.digest == digest or link.parent:
-                continue
-            if not link.send_buffer.flush():
-                continue  # it gets the newest once the link is through
-            update = cache.update_for(link.digest)
-            if update:
-                link.send(update)
-            link.digest = digest
-
     async def commit(self, key: str, change: Change, reading: bool = False) -> bytes | None:
         """Proposes a change or a read, and waits for its outcome.
 
@@ -219,7 +205,7 @@
 
     async def _receive(self, link: PoolerLink, peer: Hello, message: Any) -> None:
         if peer.role == POOLER_ROLE:
-            self._receive_from_pooler(link, peer, message, self.now())
+            self.sessions.receive(link, peer, message, self.now())
         else:
             self.incoming[peer.ip] = link
             await self._receive_from_peer(peer.ip, message)
@@ -229,87 +215,11 @@
             return
         if self.incoming.get(link.peer.ip) is link:
             del self.incoming[link.peer.ip]
-        if self.poolers.get(link.node) is link:
-            del self.poolers[link.node]
-            self.core.members.end(link.node, self.now(), link.leaving)
-
-    def _receive_from_pooler(self, link: PoolerLink, peer: Hello, message: Any, now: float) -> None:
-        if isinstance(message, Follow):
-            link.digest = message.digest
-            update = self.core.cache.update_for(message.digest)
-            if update:
-                link.send(update)
-        elif isinstance(message, DeliveryIntent):
-            self.core.delivery.take_intent(peer.node, message, now)
-        elif isinstance(message, DeliveryOutcome):
-            self.core.delivery.take_outcome(peer.node, message, now)
-        elif isinstance(message, PoolerHeartbeat):
-            self._receive_heartbeat(link, peer, message, now)
-
-    def _receive_heartbeat(
-        self, link: PoolerLink, peer: Hello, message: PoolerHeartbeat, now: float
-    ) -> None:
-        core = self.core
-        link.leaving, link.answers_ms = message.leaving, message.sent_ms
-        link.stamps.receive(message.stamp, now)
-        core.pool_mode_votes.receive(message.pool_mode_votes)
-        core.members.receive(
-            peer.node,
-            peer.zone,
-            peer.address,
-            now,
-            message.digest.priority,
-            message.digest.subscribers,
-            peer.incarnation,
-        )
-        self.poolers[peer.node] = link
-        link.digest = message.digest
-        if message.report:
-            link.report, link.reported_at = message.report, now
-        core.registry.take_observations(message.positions, now, own=True)
-        for name in message.failed_backends:
-            if now - core.registry.suspected_at.get(name, NEVER) > SUSPECT_REPEAT_S:
-                core.report_suspect(name, now)
-        link.parent = core.members.parent(peer.node, self.settings.zone, FAN_OUT)
-        self.send_heartbeat(link, now)
-
-    def send_heartbeat(
-        self, link: PoolerLink, now: float, want_report: bool = False, log_level: str = ""
-    ) -> None:
-        """Our heartbeat to a pooler."""
-        core = self.core
-        addresses = [self.settings.ip, *core.peer_addresses()]
-        positions = core.registry.observations(link.positions_sent_at, now)
-        link.positions_sent_at = now
-        link.send(
-            ControllerHeartbeat(
-                core.cache.digest(),
-                self._count_members(now),
-                link.parent,
-                [f"{address}:{self.port}" for address in addresses],
-                positions,
-                want_report,
-                log_level,
-                core.in_quorum(now),
-                link.stamps.confirmed_by(core.access.read_at),
-                link.answers_ms,
-            )
-        )
-
-    def _count_members(self, now: float) -> int:
-        """How many poolers the fleet has; all are looked at, so not for each pooler's heartbeat."""
-        if now - self._counted_at >= COUNT_EVERY_S:
-            self._member_count, self._counted_at = max(1, self.core.members.count(now)), now
-        return self._member_count
+        self.sessions.end(link, self.now())
 
     def announce(self, message: PrimaryPending) -> None:
         """Tells the poolers in session here of a new primary on its way."""
-        self.send_to_poolers(message)
-
-    def send_to_poolers(self, message: Message) -> None:
-        """A message for all poolers in session here."""
-        for link in self.poolers.values():
-            link.send(message)
+        self.sessions.broadcast(message)
 
     async def _receive_from_peer(self, peer: str, message: Any) -> None:
         if isinstance(message, PrimaryPending):
@@ -338,7 +248,7 @@
                 self._dialled.add(peer)
                 await curio.spawn(run_forever, logger, self._keep_link, peer, daemon=True)
             await self.supervisor.on_timer(now)
-            for link in [*self.poolers.values(), *self.outgoing.values()]:
+            for link in [*self.sessions.links.values(), *self.outgoing.values()]:
                 link.send_buffer.flush()
             await self.flush()
 
--- a/sumacloom/settings.py
+++ b/sumacloom/settings.py
@@ -297,3 +297,12 @@
         self.checked_at = now
         before, self.identity = self.identity, self._read_identity()
         return self.identity is not None and self.identity != before
+
+
+def seed_hosts(seeds: list[str]) -> list[str]:
+    """The hosts of seed addresses, each once.
+
+    >>> seed_hosts(["10.0.0.1:80", "10.0.0.1:81", "10.0.0.2:80"])
+    ['10.0.0.1', '10.0.0.2']
+    """
+    return list(dict.fromkeys(seed.rpartition(":")[0] for seed in seeds))
--- a/tests/dutyland.py
+++ b/tests/dutyland.py
@@ -12,8 +12,9 @@
 from sumacloom.configuration.model import Configuration, Service
 from sumacloom.consensus.codec import decode
 from sumacloom.controller.failover import executor, lease_confirmation, supervisor
+from sumacloom.controller.failover.backend_status import parse_status
+from sumacloom.controller.failover.commands import BackendQuery
 from sumacloom.controller.failover.executor import QUERY_TIMEOUT_S, CommandExecutor
-from sumacloom.controller.failover.plans import BackendQuery, parse_status
 from sumacloom.controller.failover.supervisor import FailoverSupervisor
 from sumacloom.controller.registers import FAILOVER_LEASE_KEY
 from sumacloom.controller.registers.lease import LeaseValue
--- a/tests/model/world.py
+++ b/tests/model/world.py
@@ -8,8 +8,9 @@
 import random
 
 from sumacloom.consensus.codec import decode, unchanged
+from sumacloom.consensus.contact import PeerState
 from sumacloom.consensus.messages import Committed
-from sumacloom.consensus.node import ConsensusNode, PeerState
+from sumacloom.consensus.node import ConsensusNode
 from sumacloom.consensus.quorum import QuorumConfiguration
 from sumacloom.consensus.reconfiguration import VOTERS_KEY
 from sumacloom.controller.registers import REGISTER_KEYS
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -2,20 +2,17 @@
 
 import pytest
 
-from sumacloom.controller.failover.plans import (
+from sumacloom.controller.failover.backend_status import parse_status
+from sumacloom.controller.failover.commands import (
     AnnouncePrimary,
     BackendQuery,
     ListBackends,
     Promote,
     RaiseFencingToken,
-    ServiceView,
     Wait,
-    fail_over,
-    parse_status,
-    release_replicas,
-    select_plan,
-    switch_over,
 )
+from sumacloom.controller.failover.plan_selection import ServiceView, select_plan
+from sumacloom.controller.failover.plans import fail_over, release_replicas, switch_over
 from sumacloom.transport.updates import BackendRecord
 
 
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -8,10 +8,10 @@
 
 from sumacloom.consensus.codec import decode, encode
 from sumacloom.controller.failover import executor, lease_confirmation
+from sumacloom.controller.failover.commands import AnnouncePrimary, Promote, RaiseFencingToken, Wait
 from sumacloom.controller.failover.executor import CommandExecutor, UnclearCall
 from sumacloom.controller.failover.lease import FailoverLease
 from sumacloom.controller.failover.lease_confirmation import HeldLease, LeaseRead
-from sumacloom.controller.failover.plans import AnnouncePrimary, Promote, RaiseFencingToken, Wait
 from sumacloom.controller.registers.lease import LeaseValue
 from sumacloom.controller.stall_detector import StallDetector
 from sumacloom.errors import NoQuorumError
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -1,11 +1,11 @@
-"""What may not grow faster than the fleet: messages and bytes per counter, with the real processs' own code."""
+"""What may not grow faster than the fleet: messages and bytes per pooler, with the real sessions' own code."""
 
 import msgspec
 import pytest
 
 from sumacloom.configuration.model import compress
 from sumacloom.controller.policy.access import StampQueue
-from sumacloom.controller.process import ControllerProcess
+from sumacloom.controller.pooler_sessions import PoolerSessions
 from sumacloom.controller.registry.members import Members
 from sumacloom.pooler.membership import ControllerSession
 from sumacloom.pooler.server_pools import ServerPools
@@ -41,13 +41,13 @@
         self.receive(message)
 
 
-class Counter:
+class SimulatedPooler:
     """A member of the fleet, its session and its parent played by pipes."""
 
-    def __init__(self, fleet, number, process):
+    def __init__(self, fleet, number, sessions):
         self.fleet, self.address = fleet, f"10.0.1.{number}:7441"
         settings = Settings(
-            f"edge-{number:03d}", "counter", f"10.0.1.{number}", "a", seeds=["10.0.0.1:80"]
+            f"edge-{number:03d}", "pooler", f"10.0.1.{number}", "a", seeds=["10.0.0.1:80"]
         )
         self.pools = ServerPools(settings)
         self.pools.observations = lambda _since, _now: (
@@ -57,12 +57,10 @@
             settings, lambda: fleet.now, None, self.pools, [], dict
         )
         self.down = Pipe(fleet, self.receive)
-        self.down.peer = Hello(settings.node, "counter", "a", self.address, settings.ip)
+        self.down.peer = Hello(settings.node, "pooler", "a", self.address, settings.ip)
         self.controller_session.session = Pipe(
             fleet,
-            lambda message: process._receive_from_pooler(
-                self.down, self.down.peer, message, fleet.now
-            ),
+            lambda message: sessions.receive(self.down, self.down.peer, message, fleet.now),
         )
         self.parent = None
 
@@ -80,22 +78,26 @@
 
 
 class Fleet:
-    """Five registrars, some backends, and as many counters as wanted."""
+    """Five controllers, some backends, and as many poolers as wanted."""
 
     def __init__(self, size):
         self.cluster = ControllerCluster(1, seeds=3, others=2, loss=0.0, nodes=2)
         self.cluster.run(4.0)
         self.messages = self.bytes = 0
         self.observations = [PositionObservation(f"i-{number}", 1, 7, 40) for number in range(30)]
-        self.processs = [self.process(one) for one in self.cluster.cores.values()]
+        self.sessions = [
+            PoolerSessions(core, core.settings, 7440) for core in self.cluster.cores.values()
+        ]
         records = {
             f"i-{number}": BackendRecord(f"i-{number}", "svc", f"10.0.2.{number}:80", "a")
             for number in range(45)
         }
-        for process in self.processs:
-            process.core.cache.records.update(records)
-            process.core.cache.refresh_records_digest()
-        self.poolers = [Counter(self, number, self.processs[number % 5]) for number in range(size)]
+        for core in self.cluster.cores.values():
+            core.cache.records.update(records)
+            core.cache.refresh_records_digest()
+        self.poolers = [
+            SimulatedPooler(self, number, self.sessions[number % 5]) for number in range(size)
+        ]
         self.by_address = {pooler.address: pooler for pooler in self.poolers}
         self.run(4.0)
 
@@ -103,25 +105,13 @@
     def now(self):
         return self.cluster.now
 
-    @staticmethod
-    def process(core):
-        process = ControllerProcess.__new__(ControllerProcess)
-        process.core, process.settings, process.poolers, process.port = (
-            core,
-            core.settings,
-            {},
-            7440,
-        )
-        process._member_count, process._counted_at = 1, -1e9
-        return process
-
     def run(self, seconds):
         """Gives messages and bytes per counter."""
         self.messages = self.bytes = 0
         for _beat in range(round(seconds / BEAT_S)):
             self.cluster.run(BEAT_S)
-            for process in self.processs:
-                process._send_updates()
+            for sessions in self.sessions:
+                sessions.send_updates()
             for pooler in self.poolers:
                 pooler.controller_session.send_to_children()
                 pooler.controller_session.heartbeat()
@@ -154,8 +144,8 @@
     observations, fleet.observations = fleet.observations, []
     fleet.run(1.4)
     quiet = fleet.run(2.1)
-    for process in fleet.processs:
-        process.core.cache.apply(Update(compress(body(ver)), 0, None, None))
+    for core in fleet.cluster.cores.values():
+        core.cache.apply(Update(compress(body(ver)), 0, None, None))
     cost = fleet.run(2.1)
     fleet.observations = observations
     assert {pooler.controller_session.cache.digest().configuration for pooler in fleet.poolers} == {
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -3,7 +3,7 @@
 import pytest
 
 from sumacloom.consensus.codec import decode
-from sumacloom.consensus.node import PeerState
+from sumacloom.consensus.contact import PeerState
 from sumacloom.consensus.quorum import QuorumConfiguration
 from sumacloom.controller.registers.configuration import ConfigurationValue, put_configuration
 from sumacloom.transport.messages import PeerHeartbeat
