--- a/capacity/fleet.py
+++ b/capacity/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet for one measurement: real controllers, hollow poolers in a few processes, beats of backends."""
+"""A fleet for one measurement: real controllers, hollow poolers in a few processes, heartbeats of backends."""
 
 import http.client
 import json
@@ -84,7 +84,7 @@
         self.close()
 
     def start(self) -> None:
-        """Controllers first, then poolers, then the backends' beats."""
+        """Controllers first, then poolers, then the backends' heartbeats."""
         environment = {
             **os.environ,
             "PYTHONPATH": os.pathsep.join([ROOT, os.path.join(ROOT, "target", "deps")]),
@@ -148,7 +148,7 @@
             time.sleep(0.1)
 
     def put(self) -> float:
-        """A blueprint of as many routes as wanted, one of them changed; gives when it was acknowledged."""
+        """A configuration of as many routes as wanted, one of them changed; gives when it was acknowledged."""
         base, self.ver = self.ver, self.ver + 1
         body = json.dumps(
             {
--- a/capacity/hollow.py
+++ b/capacity/hollow.py
@@ -1,4 +1,4 @@
-"""Hollow poolers: the real membership and news code of many poolers in one process, without clients or wires.
+"""Hollow poolers: the real membership and updates code of many poolers in one process, without clients or connections.
 
 python3 -m capacity.hollow FIRST COUNT SEEDS    one line of JSON for each line on standard input
 """
@@ -10,7 +10,7 @@
 import time
 
 from sumacloom.logs import configure_logging
-from sumacloom.pooler.membership import ControllerSession
+from sumacloom.pooler.controller_session import ControllerSession
 from sumacloom.pooler.server_pools import ServerPools
 from sumacloom.settings import Settings
 
@@ -37,7 +37,7 @@
         self.settings = Settings(
             f"edge-{number:05d}", "pooler", ip, ZONES[number % 3], seeds=seeds, port_range=PORTS
         )
-        self.took = {}  # blueprint: when it came
+        self.took = {}  # configuration: when it came
         self.controller_session = ControllerSession(
             self.settings,
             time.monotonic,
@@ -49,7 +49,7 @@
         )
 
     async def apply_update(self, _news) -> None:
-        """Notes when a blueprint came."""
+        """Notes when a configuration came."""
         found = self.controller_session.cache.configuration
         if found:
             self.took.setdefault(found.ver, time.monotonic())
--- a/sumacloom/pooler/__init__.py
+++ b/sumacloom/pooler/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane: sessions, wires, waitlists, rotation, leaving in order."""
+"""The data plane: sessions, server connections, queues, replica selection, graceful shutdown."""
--- a/sumacloom/pooler/admission.py
+++ b/sumacloom/pooler/admission.py
@@ -1,7 +1,7 @@
-"""The gate: what the access list says of logins and requests, the counts of it, and the lease on the list itself.
+"""Access control: what the access list says of logins and requests, the counts of it, and the lease on the list itself.
 
 A list is offered for longer than any lease before it comes into force, and a lease runs from a stamp of this
-counter's own clock that a registrar confirmed by a reading at a majority. So whoever still serves holds the newest.
+pooler's own clock that a controller confirmed by a reading at a majority. So whoever still serves holds the newest.
 """
 
 import logging
@@ -11,13 +11,13 @@
 from sumacloom.transport.updates import AccessUpdate
 
 logger = logging.getLogger(__name__)
-LEASE_S = 3.0  # shorter than the registrars' ENFORCE_S
+LEASE_S = 3.0  # shorter than the controllers' ENFORCE_S
 LATER = "ERR BUSY not run, the access list is not confirmed; come back in 200 ms"
 LOGIN, REQUEST = 0, 2  # places in a count: logins allowed and denied, requests allowed and denied
 
 
 class AccessLease:
-    """How long this counter may rely on the list it holds.
+    """How long this pooler may rely on the list it holds.
 
     >>> lease = AccessLease(); lease.held(9.0)
     True
@@ -26,11 +26,11 @@
     """
 
     def __init__(self):
-        self.received_at = 0  # the newest stage that a registrar told of
+        self.received_at = 0  # the newest stage that a controller told of
         self.until = None
 
     def receive(self, reported: int, cache: int, confirmed: float | None, now: float) -> None:
-        """A registrar's beat: the stage it holds, the one we hold, and the stamp it confirms, if any.
+        """A controller's heartbeat: the stage it holds, the one we hold, and the stamp it confirms, if any.
 
         >>> lease = AccessLease(); lease.receive(3, 2, 8.0, 9.0); lease.until      # ours is older: nothing is confirmed
         -1000000000.0
@@ -54,14 +54,12 @@
 
 
 class AccessControl:
-    """One counter's access list in force, and what was allowed and denied by it."""
+    """One pooler's access list in force, and what was allowed and denied by it."""
 
     def __init__(self):
         self.access: AccessList | None = None
         self.lapsed = self.closing = False
-        self.counts: dict[
-            int, dict[str, list[int]]
-        ] = {}  # generation: rule: counts, of two generations
+        self.counts: dict[int, dict[str, list[int]]] = {}  # version: rule: counts, of two versions
 
     def take(self, update: AccessUpdate) -> bool:
         """Takes the list in force; tells whether it is another one.
@@ -83,7 +81,7 @@
         return True
 
     def denies(self, session, database: str, place: int) -> str:
-        """What to answer instead of serving, or nothing; counts the verdict under its rule.
+        """What to answer instead of serving, or nothing; counts the outcome under its rule.
 
         >>> from sumacloom.pooler.session import Session
         >>> access_control = AccessControl(); session = Session(1, 0.0, "10.0.0.1"); access_control.denies(session, "books", REQUEST)
@@ -105,14 +103,14 @@
         return f"ERR DENIED by the rule {verdict.rule}: {database} is not for the region {verdict.region}"
 
     def verdict(self, session, database: str):
-        """The list's verdict on a session; its region is looked up once for each list."""
+        """The list's outcome on a session; its region is looked up once for each list."""
         version = self.access.version
         if session.region is None or session.region[0] != version:
             session.region = (version, self.access.region(session.address))
         return self.access.verdict_for_region(database, session.region[1])
 
     def rows(self, node: str) -> list[dict]:
-        """The counts, a row for each generation and rule, rules that met nothing included.
+        """The counts, a row for each version and rule, rules that met nothing included.
 
         >>> access_control = AccessControl(); _new = access_control.take(AccessUpdate(3, 1, b'{"default": "deny"}')); access_control.rows("edge-1")[0]["rule"]
         'default'
@@ -143,7 +141,7 @@
     if lapsed != access_control.lapsed:
         access_control.lapsed = lapsed
         logger.info(
-            "no registrar confirms the access list: nothing new is taken"
+            "no controller confirms the access list: nothing new is taken"
             if lapsed
             else "the access list is confirmed again"
         )
--- a/sumacloom/pooler/completion.py
+++ b/sumacloom/pooler/completion.py
@@ -1,17 +1,17 @@
-"""The moves that results and losses share: freeing a wire, finishing an errand, failing a transaction."""
+"""The moves that results and losses share: freeing a connection, finishing a statement, failing a transaction."""
 
 from sumacloom.pooler import delivery
 
 
 def release(core, connection, now: float, values_changed: bool = False) -> None:
-    """Frees a wire from its errand or transaction."""
+    """Frees a connection from its statement or transaction."""
     connection.owner = None
     connection.dirty = connection.dirty or values_changed
     settle(core, connection, now)
 
 
 def settle(core, connection, now: float) -> None:
-    """A wire with nothing outstanding is rolled back if need be, else idle for the next."""
+    """A connection with nothing outstanding is rolled back if need be, else idle for the next."""
     if (
         connection.owner is not None
         or connection.expected
@@ -33,7 +33,7 @@
 
 
 def drop(core, connection) -> None:
-    """Closes a wire and forgets it."""
+    """Closes a connection and forgets it."""
     connection.lost = True
     if core.connections.pop(connection.key, None) is None:
         return
@@ -46,7 +46,7 @@
 
 
 def judge(core, pending, lines: list[str]) -> None:
-    """The verdict on a write that is listened to, if it is one."""
+    """The outcome on a write that is subscribed to, if it is one."""
     if pending.intent:
         delivery.judge(core, pending, lines)
 
@@ -84,7 +84,7 @@
 
 
 def refuse(core, pending, now: float) -> None:
-    """Gives up an errand that has not run: a promise, and when to come back."""
+    """Gives up a statement that has not run: a promise, and when to come back."""
     if pending.transaction:
         fail_transaction(core, pending, "BUSY", now)
     else:
@@ -92,7 +92,7 @@
 
 
 def reroute_queued(core, now: float) -> None:
-    """Another blueprint: single statements not yet sent go by its rules; a transaction ends by those it began with."""
+    """Another configuration: single statements not yet sent go by its rules; a transaction ends by those it began with."""
     waiting = [pending for queue in core.queues.values() for pending in queue]
     for pending in waiting:
         rule = core.rules.get(pending.session.database)
@@ -110,7 +110,7 @@
 def session_ended(core, key, now: float) -> None:
     """The client sends no more, but may still read: what it asked is answered, then the session ends.
 
-    What waits for a wire is refused at once: most that end here have left.
+    What waits for a connection is refused at once: most that end here have left.
     """
     session = core.sessions.get(key)
     if session is None:
@@ -123,7 +123,7 @@
 
 
 def close_idle(core, now: float) -> None:
-    """Closes the sessions at rest, which a client does not take for a mishap."""
+    """Closes the sessions at rest, which a client does not take for a fault."""
     for session in list(core.sessions.values()):
         resting = session.state == "I" and session.pending is None and not session.waiting
         if session.database and resting:
--- a/sumacloom/pooler/connection_loss.py
+++ b/sumacloom/pooler/connection_loss.py
@@ -1,4 +1,4 @@
-"""What follows when a wire is lost: resent where that is safe, else the truth about what may have run."""
+"""What follows when a connection is lost: resent where that is safe, else the truth about what may have run."""
 
 from sumacloom.pooler.completion import drop, fail_transaction, finish, refuse
 from sumacloom.pooler.pending_statement import PendingStatement
@@ -8,7 +8,7 @@
 
 
 def connection_lost(core, connection, why: str, now: float, report: bool = True) -> None:
-    """A wire is gone: its errand is sent again, or told the truth about what may have run."""
+    """A connection is gone: its statement is sent again, or told the truth about what may have run."""
     if connection.key not in core.connections:
         return
     was_idle = connection.open and connection.owner is None and not connection.expected
@@ -36,7 +36,7 @@
 
 
 def backend_silent(core, connection, why: str, now: float) -> None:
-    """A wire left our own texts unanswered: the backend is dark, and its idle wires are no better."""
+    """A connection left our own texts unanswered: the backend is dark, and its idle connections are no better."""
     backend = core.pools.backends.get(connection.backend)
     for idle in list(backend.idle) if backend else []:
         drop(core, idle)
@@ -44,7 +44,7 @@
 
 
 def statement_lost(core, pending, now: float, unclear: bool = False) -> None:
-    """The wire of an errand is gone; doubtful says that its backend no longer knew of the transaction."""
+    """The connection of a statement is gone; doubtful says that its backend no longer knew of the transaction."""
     transaction, stage = pending.transaction, pending.stage
     pending.connection = None
     if transaction:
@@ -66,7 +66,7 @@
 
 
 def report_loss(core, pending, now: float) -> None:
-    """The final word on an errand outside a living transaction: a promise only if nothing ran."""
+    """The final word on a statement outside a living transaction: a promise only if nothing ran."""
     if pending.stage != "run":
         refuse(core, pending, now)
     elif pending.only_reads:
--- a/sumacloom/pooler/controller_discovery.py
+++ b/sumacloom/pooler/controller_discovery.py
@@ -1,4 +1,4 @@
-"""Where the registrars are: how near each is, and which of them answers."""
+"""Where the controllers are: how near each is, and which of them answers."""
 
 import curio
 
@@ -7,10 +7,10 @@
 
 
 class ControllerDiscovery:
-    """The part of a counter's membership that dials registrars and other counters."""
+    """The part of a pooler's membership that dials controllers and other poolers."""
 
     async def measure(self) -> None:
-        """Learns which registrar is nearest by the time that a connection takes."""
+        """Learns which controller is nearest by the time that a connection takes."""
 
         async def time_one(address):
             started = self.clock()
@@ -35,7 +35,7 @@
         return link
 
     async def nearer_controller_answers(self) -> bool:
-        """Whether a clearly nearer registrar takes links again."""
+        """Whether a clearly nearer controller takes links again."""
         mine = self.latency.get(self.controller_address, 1.0)
         nearer = [
             address for address in self.controllers if self.latency.get(address, 0.0) < mine / 4
@@ -53,7 +53,7 @@
         return False
 
     async def other_controller_answers(self) -> bool:
-        """Whether some other registrar takes links."""
+        """Whether some other controller takes links."""
         for address in self.controllers:
             if address != self.controller_address:
                 try:
--- a/sumacloom/pooler/membership.py
+++ b/sumacloom/pooler/controller_session.py
@@ -1,4 +1,4 @@
-"""A counter's session with a registrar, its parent in the relay tree, and its children."""
+"""A pooler's session with a controller, its parent in the relay tree, and its children."""
 
 import logging
 
@@ -28,15 +28,15 @@
 QUIET_S = 1.1
 BEHIND_S = 0.5
 SETTLE_S = 4.0
-UNSETTLED_S, MOST_UNSETTLED_S = 0.8, 6.0  # how long a registrar that lacks its majority is kept
+UNSETTLED_S, MOST_UNSETTLED_S = 0.8, 6.0  # how long a controller that lacks its majority is kept
 ALONE_S = (
-    30.0  # a new counter that finds no settled registrar for so long serves by what it was told
+    30.0  # a new pooler that finds no controller in a quorum for so long serves by what it was told
 )
-CLAIM_S = 2.0  # shorter than the registrars' SESSION_S: a counter doubts before it is given up
+CLAIM_S = 2.0  # shorter than the controllers' SESSION_S: a pooler doubts before it is given up
 
 
 class ControllerSession(ControllerDiscovery):
-    """Keeps one session standing, and the news fresh."""
+    """Keeps one session standing, and what it holds up to date."""
 
     def __init__(
         self,
@@ -68,37 +68,37 @@
         self.members = 1
         self.members_counted = False  # whether members have had the time to be counted
         self.started_at = clock()
-        self.current_at = None  # when we sent what a registrar that lacks nothing answered last
+        self.current_at = None  # when we sent what a controller that lacks nothing answered last
         self.caught_up = False  # whether such a one, ever, told us nothing that we lack
         self.behind_since = None
         self.awake_at = None  # when the clock was last looked at
-        self.anew = False  # whether the session ended by a standstill of ours, not by the registrar
+        self.anew = False  # whether the session ended by a stall of ours, not by the controller
         self.turn = 0  # of parents: a task of an earlier one ends
         self.controller_address, self.lease = "", AccessLease()
-        self.pool_mode_votes = lambda _now: []  # what the floor's pooling has to say
+        self.pool_mode_votes = lambda _now: []  # what the core's pooling has to say
         self.unsettled_since, self.patience = None, UNSETTLED_S
 
     @property
     def fresh(self) -> bool:
-        """Whether a settled registrar has answered a beat of ours within the claim."""
+        """Whether a controller in a quorum has answered a heartbeat of ours within the claim."""
         return self.current_at is not None and self.clock() - self.current_at < CLAIM_S
 
     @property
     def is_current(self) -> bool:
-        """Whether what we hold is what the fleet holds: a settled registrar spoke to us within the claim."""
+        """Whether what we hold is what the fleet holds: a controller in a quorum spoke to us within the claim."""
         return self.is_informed and self.fresh
 
     @property
     def is_informed(self) -> bool:
-        """Whether we once held all that a settled registrar held, or have looked for one long enough."""
+        """Whether we once held all that a controller in a quorum held, or have looked for one long enough."""
         return self.caught_up or self.clock() - self.started_at > ALONE_S
 
     def must_be_current(self, guarded: bool) -> bool:
-        """Whether this counter may serve only while it is sure: rules that must hold everywhere are in use, or it is new."""
+        """Whether this pooler may serve only while it is sure: rules that must hold everywhere are in use, or it is new."""
         return guarded or bool(self.cache.priority.order) or not self.is_informed
 
     def hello(self) -> Hello:
-        """How this counter names itself."""
+        """How this pooler names itself."""
         settings = self.settings
         return Hello(
             settings.node,
@@ -110,7 +110,7 @@
         )
 
     async def apply_update(self, update: Update) -> None:
-        """Takes news, and passes on to the children what they lack."""
+        """Takes an update, and passes on to the children what they lack."""
         if self.cache.apply(update):
             await self.on_update(update)
             self.send_to_children()
@@ -148,13 +148,13 @@
             )
 
     def say(self, message) -> None:
-        """A message for the registrar; without a session it is dropped, and said again later."""
+        """A message for the controller; without a session it is dropped, and said again later."""
         if self.session:
             self.session.send(message)
 
     # ------------------------------------------------------------ the session
     async def attach(self) -> None:
-        """Keeps a session with the nearest registrar that answers."""
+        """Keeps a session with the nearest controller that answers."""
         await self.measure()
         barred: dict[str, float] = {}
         while True:
@@ -188,14 +188,14 @@
             self.anew = False
 
     def stalled(self) -> bool:
-        """Whether this counter has not run for so long that what lies unread may be old."""
+        """Whether this pooler has not run for so long that what lies unread may be old."""
         return self.awake_at is not None and self.clock() - self.awake_at > QUIET_S
 
     def look(self, now: float) -> None:
-        """The clock runs; after a standstill the session is opened anew, since its backlog would count as fresh."""
+        """The clock runs; after a stall the session is opened anew, since its backlog would count as fresh."""
         if self.stalled() and self.session:
             logger.info(
-                "this counter stood still: the session with %s is opened anew",
+                "this pooler was stalled: the session with %s is opened anew",
                 self.controller_address,
             )
             self.anew = True
@@ -203,20 +203,20 @@
         self.awake_at = now
 
     async def watch(self, link: Link) -> None:
-        """Beats on the session; ends it when it goes quiet, or when a nearer registrar is back."""
+        """Beats on the session; ends it when it goes quiet, or when a nearer controller is back."""
         looked_at = self.clock()
         while True:
             await curio.sleep(BEAT_S if self.is_informed else EARLY_S)
             now = self.clock()
             if now - link.last_heartbeat_at > QUIET_S:
-                logger.info("the registrar at %s went quiet", self.controller_address)
+                logger.info("the controller at %s went quiet", self.controller_address)
                 break
             self.heartbeat()
             if self.unsettled_since is not None and now - self.unsettled_since > self.patience:
                 self.unsettled_since, self.patience = now, min(MOST_UNSETTLED_S, self.patience * 2)
                 if await self.other_controller_answers():
                     logger.info(
-                        "the registrar at %s lacks its majority, another is tried",
+                        "the controller at %s lacks its majority, another is tried",
                         self.controller_address,
                     )
                     break
@@ -227,7 +227,7 @@
         link.abort()
 
     async def receive(self, link: Link, message) -> None:
-        """What the registrar says."""
+        """What the controller says."""
         if isinstance(message, Update):
             await self.apply_update(message)
         elif isinstance(message, (IntentStored, OutcomeAcknowledged)):
@@ -261,7 +261,7 @@
             self.check_behind(link, message.digest)
 
     def check_behind(self, link: Link, digest: UpdateDigest) -> None:
-        """Pulls from the registrar itself when the tree leaves us behind for long."""
+        """Pulls from the controller itself when the tree leaves us behind for long."""
         now = self.clock()
         if digest == self.cache.digest():
             self.behind_since = None
@@ -275,7 +275,7 @@
 
     # ------------------------------------------------------------ the tree
     async def follow(self, address: str) -> None:
-        """Takes news from the parent that the registrar names; nothing means from itself."""
+        """Takes an update from the parent that the controller names; nothing means from itself."""
         if address == self.parent_address:
             if self.parent:
                 self.parent.send(Follow(self.cache.digest()))
@@ -310,7 +310,7 @@
             await curio.sleep(0.2)
 
     async def serve_child(self, sock) -> None:
-        """Another counter takes its news from us."""
+        """Another pooler takes its updates from us."""
         configure_socket(sock._socket)
         link = Link(sock)
         self.children.append(link)
--- a/sumacloom/pooler/core.py
+++ b/sumacloom/pooler/core.py
@@ -1,4 +1,4 @@
-"""The counter's core: sessions in front, wires behind, waitlists between. No sockets here.
+"""The pooler's core: sessions in front, connections behind, queues between. No sockets here.
 
 Inputs are the methods; what is to be sent, shut or dialled gathers in `effects`:
 ("send", key, bytes), ("shut", key), ("dial", key, host, port).
@@ -26,7 +26,7 @@
 
 
 class PoolerCore:
-    """All sessions and wires of one counter."""
+    """All sessions and connections of one pooler."""
 
     def __init__(self, settings: Settings, incarnation: int = 0):
         self.settings = settings
@@ -42,9 +42,9 @@
         self.priority_databases, self.unsure, self.isolated = set(), False, False
         self.access_control, self.pool_modes = AccessControl(), PoolModes(settings.pooling)
 
-    # ------------------------------------------------------------ news
+    # ------------------------------------------------------------ updates
     def apply_configuration(self, configuration: Configuration, now: float) -> None:
-        """Takes a newer blueprint; an older one changes nothing.
+        """Takes a newer configuration; an older one changes nothing.
 
         >>> core = PoolerCore(Settings("n", "r", "10.0.0.1", "z"))
         >>> core.apply_configuration(Configuration(3), 0.0); core.apply_configuration(Configuration(2), 0.0); core.configuration.ver
@@ -55,11 +55,11 @@
         self.configuration = configuration
         self.rules = compile_rules(configuration)
         self.pools.services = {service.name: service for service in configuration.svcs}
-        logger.info("the blueprint %d is in force", configuration.ver)
+        logger.info("the configuration %d is in force", configuration.ver)
         completion.reroute_queued(self, now)
 
     def apply_records(self, records: list, now: float) -> None:
-        """Takes backends' records from the news.
+        """Takes backends' records from an update.
 
         >>> PoolerCore(Settings("n", "r", "10.0.0.1", "z")).apply_records([], 0.0)
         """
@@ -73,7 +73,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this counter calls itself ready.
+        """Whether this pooler calls itself ready.
 
         >>> PoolerCore(Settings("n", "r", "10.0.0.1", "z")).ready
         False
@@ -88,20 +88,20 @@
     def apply_priority(
         self, databases: list[str], is_current: bool, used: bool, now: float
     ) -> None:
-        """Takes the priority lanes in force, and whether we may rely on them.
+        """Takes the databases with priority in force, and whether we may rely on them.
 
-        A counter that can't be sure is not ready and lets idle sessions go; what was asked is answered.
+        A pooler that can't be sure is not ready and lets idle sessions go; what was asked is answered.
 
         >>> core = PoolerCore(Settings("n", "r", "10.0.0.1", "z")); core.apply_priority(["books"], True, True, 0.0); core.priority_databases
         {'books'}
         """
         if set(databases) != self.priority_databases:
             self.priority_databases = set(databases)
-            logger.info("the priority lane holds: %s", ", ".join(databases) or "nothing")
+            logger.info("priority databases: %s", ", ".join(databases) or "nothing")
         unsure = used and not is_current
         if unsure and not self.unsure:
             logger.info(
-                "no settled registrar is heard: not ready, since what is held here may be old"
+                "no controller in contact with a quorum is heard: not ready, since what is held here may be old"
             )
         self.unsure = unsure
         if unsure:
@@ -154,7 +154,7 @@
         if words[0] != "LOGIN" or len(words) < 3 or not words[1] or not words[2]:
             self.send(session, "ERR MALFORMED a session starts with LOGIN")
         elif self.rules is None:
-            self.send(session, "ERR BUSY this counter has no blueprint yet")
+            self.send(session, "ERR BUSY this pooler has no configuration yet")
         elif denial := self.access_control.denies(session, words[1], LOGIN):
             self.send(session, denial)
         elif words[1] not in self.rules:
@@ -197,7 +197,7 @@
         self.session_closed(session.key, now, session)
 
     def session_closed(self, key, now: float, session: Session | None = None) -> None:
-        """The client's connection is gone: its wire is rolled back and freed.
+        """The client's connection is gone: its server connection is rolled back and freed.
 
         >>> PoolerCore(Settings("n", "r", "10.0.0.1", "z")).session_closed(9, 0.0)
         """
@@ -243,9 +243,9 @@
         if (rests or session.ending) and not session.waiting:
             self.shut_session(session, now)
 
-    # ------------------------------------------------------------ errands
+    # ------------------------------------------------------------ statements
     def submit(self, session: Session, statement, plan: str, now: float) -> None:
-        """Sends a statement on its way: on its transaction's wire, or into the waitlist."""
+        """Sends a statement on its way: on its transaction's connection, or into the queue."""
         transaction = session.transaction
         rule = transaction.rule if transaction else self.rules.get(session.database)
         if rule is None:
@@ -270,14 +270,14 @@
             self.enqueue(pending, now)
 
     def enqueue(self, pending: PendingStatement, now: float) -> None:
-        """Puts an errand into its service's waitlist, and tries at once."""
+        """Puts a statement into its service's queue, and tries at once."""
         pending.stage, pending.connection = "waiting", None
         queue = self.queues.setdefault(pending.rule.service, [])
         insort(queue, pending, key=PendingStatement.order)
         self.dispatch(pending.rule.service, now)
 
     def complete(self, pending: PendingStatement) -> None:
-        """The errand is over, whatever its end."""
+        """The statement is over, whatever its end."""
         judge(self, pending)
         pending.stage = "done"
         self.active.discard(pending)
@@ -285,7 +285,7 @@
             pending.session.pending = None
 
     def dispatch(self, service: str, now: float) -> None:
-        """Starts what can start; what finds no wire waits on, in its order.
+        """Starts what can start; what finds no connection waits on, in its order.
 
         >>> PoolerCore(Settings("n", "r", "10.0.0.1", "z")).dispatch("svc", 0.0)
         """
@@ -303,9 +303,9 @@
         queue[:] = sorted(kept + queue, key=PendingStatement.order) if queue else kept
 
     def place(self, pending: PendingStatement, full: set, waiting: int, now: float) -> bool:
-        """Walks the plan's first step: draws a backend and a wire, and starts the errand on it.
+        """Walks the plan's first step: draws a backend and a connection, and starts the statement on it.
 
-        What found no wire is not looked for again in the same round: a long waitlist would else cost its square.
+        What found no connection is not looked for again in the same round: a long queue would else cost its square.
         """
         pools, placement_key = self.pools, pending.placement_key()
         if placement_key in full:
@@ -325,7 +325,7 @@
             service_pool.without_primary_since = (
                 None if is_alive else service_pool.without_primary_since or now
             )
-        held = False  # a wire is there, but not for this one
+        held = False  # a connection is there, but not for this one
         for backend in backends:
             if backend.name in full:
                 continue
@@ -350,7 +350,7 @@
         return False
 
     def dial(self, backend, now: float) -> bool:
-        """Opens one more wire to a backend, if it may have one; tells whether it may."""
+        """Opens one more connection to a backend, if it may have one; tells whether it may."""
         connection = self.pools.new_connection(backend, now)
         if connection:
             self.connections[connection.key] = connection
@@ -358,7 +358,7 @@
         return connection is not None
 
     def start_on(self, pending: PendingStatement, connection, now: float) -> None:
-        """Puts the session's values and names in place on the wire, opens what the plan opens, or runs."""
+        """Puts the session's values and names in place on the connection, opens what the plan opens, or runs."""
         session, transaction = pending.session, pending.transaction
         bound = transaction is not None and transaction.connection is connection
         pending.connection, pending.attempts = connection, pending.attempts + (not bound)
--- a/sumacloom/pooler/delivery.py
+++ b/sumacloom/pooler/delivery.py
@@ -1,7 +1,7 @@
-"""Writes on databases that are listened to: held back until a registrar has their intent on disk.
+"""Writes on databases that are subscribed to: held back until a controller has their intent on disk.
 
-Once a write's end is known its verdict goes to the registrar, again and again until it is noted there.
-What nobody listens to passes untouched. A counter that can't be sure who listens treats all as listened to.
+Once a write's end is known its outcome goes to the controller, again and again until it is noted there.
+What nobody subscribes to passes untouched. A pooler that can't be sure who subscribes treats all as subscribed to.
 """
 
 from sumacloom.transport.messages import DeliveryIntent, DeliveryOutcome
@@ -16,13 +16,13 @@
 
 
 class DeliveryTracker:
-    """What one counter has told registrars, in one life."""
+    """What one pooler has told controllers, in one incarnation."""
 
     def __init__(self, node: str, incarnation: int):
         self.node, self.incarnation = node, incarnation
         self.databases, self.everything = set(), False
         self.numbers: dict[str, int] = {}
-        self.waiting: dict[tuple, object] = {}  # (database, number): the errand held back
+        self.waiting: dict[tuple, object] = {}  # (database, number): the statement held back
         self.unacknowledged: dict[tuple, DeliveryOutcome] = {}
         self.reported_at = -1e9
 
@@ -35,7 +35,7 @@
         return self.everything or database in self.databases
 
     def listen(self, databases, everything: bool) -> None:
-        """Takes who listens, and whether we can't be sure of it.
+        """Takes who subscribes, and whether we can't be sure of it.
 
         >>> delivery = DeliveryTracker("edge-1", 7); delivery.listen(["books"], False); delivery.wants("books")
         True
@@ -43,7 +43,7 @@
         self.databases, self.everything = set(databases), everything
 
     def note(self, database: str, number: int) -> None:
-        """The feed has the item; the verdict need not be said again.
+        """The feed has the item; the outcome need not be said again.
 
         >>> DeliveryTracker("edge-1", 7).note("books", 1)
         """
@@ -51,7 +51,7 @@
 
 
 def item_text(statement) -> str:
-    """A write as listeners get it; a long one is cut, and says so.
+    """A write as subscribers get it; a long one is cut, and says so.
 
     >>> from sumacloom.pooler.session import decode
     >>> item_text(decode("1 PUT a b", {})), item_text(decode("1 EXEC s a b", {"s": ("PUT", "q")}))
@@ -79,7 +79,7 @@
     pending.intent = (database, number, text)
     pending.stage, pending.sent_at = "spooling", now
     if len(delivery.unacknowledged) >= MAX_UNACKNOWLEDGED:
-        pending.sent_at = now - HOLD_S  # nobody takes our verdicts: given up at the next tick
+        pending.sent_at = now - HOLD_S  # nobody takes our outcomes: given up at the next tick
     delivery.waiting[(database, number)] = pending
     core.effects.append(
         ("spool", DeliveryIntent(delivery.incarnation, number, database, text, delivery.node))
@@ -88,7 +88,7 @@
 
 
 def handle_intent_stored(core, message, now: float) -> None:
-    """A registrar holds the intent: the write goes out."""
+    """A controller holds the intent: the write goes out."""
     if (
         message.incarnation != core.delivery.incarnation
     ):  # of an earlier life, whose numbers were the same
@@ -99,7 +99,7 @@
 
 
 def judge(core, pending, lines: list[str] | None = None) -> None:
-    """The end of an errand with an intent, from its reply or, without one, from how far it came."""
+    """The end of a statement with an intent, from its reply or, without one, from how far it came."""
     if not pending.intent:
         return
     (database, number, text), pending.intent = pending.intent, None
@@ -117,7 +117,7 @@
 
 
 def resend_outcomes(core, now: float) -> None:
-    """Verdicts that no registrar has noted go out again."""
+    """Outcomes that no controller has noted go out again."""
     delivery = core.delivery
     if delivery.unacknowledged and now - delivery.reported_at >= AGAIN_S:
         delivery.reported_at = now
--- a/sumacloom/pooler/delivery_timers.py
+++ b/sumacloom/pooler/delivery_timers.py
@@ -1,4 +1,4 @@
-"""What the clock does to a write whose intent no registrar took in time."""
+"""What the clock does to a write whose intent no controller took in time."""
 
 from sumacloom.pooler import completion
 from sumacloom.pooler.delivery import HOLD_S
@@ -7,7 +7,7 @@
 
 @stage("spooling")
 def check_spooling(core, pending, now: float) -> None:
-    """No registrar took the intent in time: the write was not sent, and the client hears so."""
+    """No controller took the intent in time: the write was not sent, and the client hears so."""
     if now - pending.sent_at < HOLD_S and now < pending.deadline:
         return
     connection, transaction = pending.connection, pending.transaction
--- a/sumacloom/pooler/pending_statement.py
+++ b/sumacloom/pooler/pending_statement.py
@@ -1,4 +1,4 @@
-"""An errand: one statement on its way to a backend and back."""
+"""A client's statement on its way to a backend and back."""
 
 from sumacloom.pooler.routing import FALLBACK, PLANS
 
@@ -6,9 +6,9 @@
 class PendingStatement:
     """A statement that needs a backend, with its plan and how far it has come.
 
-    Stages: waiting (in a waitlist), setup (own texts are out, nothing of the client's), run
+    Stages: waiting (in a queue), setup (own texts are out, nothing of the client's), run
     (the statement itself may have reached the backend), paused (not run, to go out again on the
-    same wire), done.
+    same connection), done.
     """
 
     __slots__ = (
@@ -51,7 +51,7 @@
         self.prioritized = False
         self.shares_connection = (
             session.mode == "statement" and transaction is None
-        )  # it shares wires by the statement
+        )  # it shares connections by the statement
         self.intent = None
 
     @property
@@ -69,11 +69,11 @@
         return self.statement.kind == "read"
 
     def order(self) -> tuple:
-        """Its place in a waitlist: the priority lane first, then priority, then cutoff."""
+        """Its place in a queue: the priority databases first, then priority, then cutoff."""
         return (not self.prioritized, self.rule.priority, self.deadline)
 
     def placement_key(self) -> tuple:
-        """What decides which wires it may have: all of one kind find the same ones."""
+        """What decides which connections it may have: all of one kind find the same ones."""
         return (
             self.plan[0],
             id(self.rule),
@@ -83,7 +83,7 @@
         )
 
     def fall_back(self) -> bool:
-        """Turns from the rotation to the lead, if the plan knows how.
+        """Turns from replicas to the primary, if the plan knows how.
 
         >>> FALLBACK["rotation_read"]
         'lead_read'
--- a/sumacloom/pooler/pool_mode.py
+++ b/sumacloom/pooler/pool_mode.py
@@ -1,8 +1,8 @@
 """Pool modes, judged from what sessions do: `statement` or `transaction`.
 
-Safety never rests on the mode: in either, a transaction holds one wire from its first statement to its end, and a
+Safety never rests on the mode: in either, a transaction holds one connection from its first statement to its end, and a
 write is sent once. A session judged `statement` that begins a transaction, sets a value or prepares a name is in
-`transaction` mode from that message on. What a judgement changes is which sessions pack into the shared wires.
+`transaction` mode from that message on. What a vote changes is which sessions pack into the shared connections.
 """
 
 from collections import OrderedDict
@@ -19,7 +19,7 @@
 
 
 class Tally:
-    """What one database's sessions did here since the last judgement."""
+    """What one database's sessions did here since the last vote."""
 
     __slots__ = ("requests", "since", "stateful")
 
@@ -29,7 +29,7 @@
 
 
 class PoolModes:
-    """One counter's judgements, and those that the fleet holds."""
+    """One pooler's votes, and those that the fleet holds."""
 
     def __init__(self, settings: PoolSettings):
         self.settings = settings
@@ -106,7 +106,7 @@
             session.mode = STATEMENT
 
     def pool_mode_votes(self, now: float) -> list[tuple[str, str, str, int]]:
-        """Changes of mind to tell: (database, who or nothing, mode, the generation of the row judged).
+        """Changes of mind to tell: (database, who or nothing, mode, the version of the row judged).
 
         >>> PoolModes(PoolSettings()).pool_mode_votes(0.0)
         []
@@ -153,7 +153,7 @@
         share = tally.stateful / tally.requests
         long = settings.relax_s * 2 ** min(
             row.strikes, 10
-        )  # each judgement taken back makes the next take longer
+        )  # each vote taken back makes the next take longer
         if row.mode == STATEMENT and share >= settings.tighten_share:
             return [(database, "", TRANSACTION, row.since)]
         if now - tally.since < long or tally.requests < settings.relax_requests:
--- a/sumacloom/pooler/primary_positions.py
+++ b/sumacloom/pooler/primary_positions.py
@@ -1,4 +1,4 @@
-"""Anchors: positions read from a backend proven to lead, dated by the moment of asking."""
+"""Known positions of primaries: positions read from a backend proven to be the primary, dated by the moment of asking."""
 
 from collections import deque
 
--- a/sumacloom/pooler/process.py
+++ b/sumacloom/pooler/process.py
@@ -1,4 +1,4 @@
-"""The counter's shell: sockets and clock around the floor."""
+"""The pooler's process: sockets and clock around the core."""
 
 import contextlib
 import logging
@@ -17,8 +17,8 @@
     server_results,
     timers,
 )
+from sumacloom.pooler.controller_session import ControllerSession
 from sumacloom.pooler.core import PoolerCore
-from sumacloom.pooler.membership import ControllerSession
 from sumacloom.pooler.status_report import report_of
 from sumacloom.settings import POOLER, FileWatch, Settings, read_settings, split_address
 from sumacloom.signals import Signals
@@ -52,13 +52,13 @@
 
 
 class PoolerProcess:
-    """One running counter."""
+    """One running pooler."""
 
     def __init__(self, settings: Settings):
         self.settings = settings
         self.incarnation = secrets.randbits(48)
         self.core = PoolerCore(settings, self.incarnation)
-        self.send_buffers: dict = {}  # session or wire key: outlet
+        self.send_buffers: dict = {}  # session or connection key: send buffer
         self.blocked: set = set()
         self.next_session = 0
         self.most_sessions = max(64, settings.limits.nofile - KEPT_DESCRIPTORS)
@@ -88,7 +88,7 @@
 
     # ------------------------------------------------------------ effects
     async def run_effects(self) -> None:
-        """Does what the floor asked for."""
+        """Does what the core asked for."""
         while self.core.effects:
             effects, self.core.effects = self.core.effects, []
             for kind, *rest in effects:
@@ -104,7 +104,7 @@
                     self.over = True
 
     def send(self, key, data: bytes) -> None:
-        """Bytes for a session or a wire."""
+        """Bytes for a session or a connection."""
         send_buffer = self.send_buffers.get(key)
         if send_buffer is None:
             return
@@ -151,7 +151,7 @@
             await self.server_connection_ended(key, why)
 
     async def server_connection_ended(self, key: int, why: str) -> None:
-        """A wire has ended."""
+        """A connection has ended."""
         self.send_buffers.pop(key, None)
         connection = self.core.connections.get(key)
         if connection:
@@ -192,7 +192,7 @@
             core.session_closed(key, self.now())
             await self.run_effects()
 
-    # ------------------------------------------------------------ news
+    # ------------------------------------------------------------ updates
     async def apply_update(self, _news) -> None:
         """The board has something newer."""
         cache: UpdateCache = self.controller_session.cache
@@ -205,7 +205,7 @@
         await self.run_effects()
 
     async def receive_delivery_reply(self, message) -> None:
-        """A registrar holds an intent, or has noted a verdict."""
+        """A controller holds an intent, or has acknowledged an outcome."""
         if isinstance(message, IntentStored):
             delivery.handle_intent_stored(self.core, message, self.now())
             await self.run_effects()
@@ -213,12 +213,12 @@
             self.core.delivery.note(message.database, message.number)
 
     def report(self) -> dict:
-        """What this counter tells the admin API when asked."""
+        """What this pooler tells the admin API when asked."""
         return report_of(self.core, self.controller_session, self.now())
 
     # ------------------------------------------------------------ running
     async def clock(self) -> None:
-        """Ticks until this counter has left."""
+        """Ticks until this pooler has left."""
         while not self.over:
             await curio.sleep(TICK_S)
             if self.signals.take_hangup() or self.watch.has_changed(self.now()):
--- a/sumacloom/pooler/replica_health.py
+++ b/sumacloom/pooler/replica_health.py
@@ -1,7 +1,7 @@
 """The paper's health: which replicas of a service may serve reads.
 
 Kept per replica: last position, lag behind the freshest replica seen, when soft lag began,
-how long it has been inside the band. The chart `replica` decides; this module measures.
+how long it has been inside the band. The state machine `replica` decides; this module measures.
 """
 
 import logging
@@ -14,12 +14,12 @@
 logger = logging.getLogger(__name__)
 STATE_MACHINE = load_state_machine("replica_health")
 TIP_STEP_S = 0.25
-SHOWN = 1.2  # sweeps: a position shown so lately, here or by way of the registrars, spares a STAT
+SHOWN = 1.2  # sweeps: a position shown so lately, here or by way of the controllers, spares a STAT
 LEAST_SOFT, LEAST_HARD = 3, 8  # positions; the source's own figures, kept as least widths
 
 
 class Replica:
-    """What a counter knows of one replica's freshness."""
+    """What a pooler knows of one replica's freshness."""
 
     __slots__ = (
         "band_since",
@@ -42,7 +42,7 @@
 
 
 class ReplicaHealth:
-    """The rotation of one service.
+    """The replicas of one service that serve reads.
 
     >>> replica_health = ReplicaHealth(Health())
     >>> replica_health.see("a", Position(1, 10), 0.0); replica_health.see("b", Position(1, 9), 0.1)
@@ -57,7 +57,7 @@
         self.tips = deque(maxlen=32)
         self.frozen = False
         self.turn = (
-            turn  # 0 to 1: who sweeps first differs by counter and service, and spares the rest
+            turn  # 0 to 1: who sweeps first differs by pooler and service, and spares the rest
         )
 
     def lag_limits(self) -> tuple[int, int]:
@@ -77,7 +77,7 @@
         )
 
     def see(self, name: str, position: Position, now: float, own: bool = True) -> None:
-        """Takes a position read from a replica, by a sweep, by ordinary traffic, or seen by another counter.
+        """Takes a position read from a replica, by a sweep, by ordinary traffic, or seen by another pooler.
 
         The lag is counted against the freshest replica as it stood at the moment of that reading.
 
@@ -134,7 +134,7 @@
         return max((position for seen, position in self.tips if seen <= moment), default=LOG_START)
 
     def silent(self, name: str, now: float) -> None:
-        """A sweep or a wire of that replica got no answer.
+        """A sweep or a connection of that replica got no answer.
 
         >>> replica_health = ReplicaHealth(Health()); replica_health.see("a", Position(1, 1), 0.0)
         >>> replica_health.silent("a", 1.0); replica_health.eligible()
@@ -145,14 +145,14 @@
             self.apply(replica, "silent", now)
 
     def forget(self, name: str) -> None:
-        """The replica is gone, or leads now.
+        """The replica is gone, or is the primary now.
 
         >>> ReplicaHealth(Health()).forget("a")
         """
         self.replicas.pop(name, None)
 
     def apply(self, replica: Replica, event: str, now: float) -> None:
-        """Runs one event through the chart and does what it says.
+        """Runs one event through the state machine and does what it says.
 
         >>> replica_health = ReplicaHealth(Health()); replica = Replica("a")
         >>> replica_health.apply(replica, "first", 0.0); replica.state
@@ -166,16 +166,16 @@
                 replica.band_since = now
             elif action == "say_evicted":
                 logger.info(
-                    "the replica %s left the rotation (%s, %d behind)",
+                    "the replica %s is ejected (%s, %d behind)",
                     replica.name,
                     event,
                     replica.lag,
                 )
             elif action == "say_readmitted":
-                logger.info("the replica %s is back in the rotation", replica.name)
+                logger.info("the replica %s serves reads again", replica.name)
 
     def eligible(self) -> list[Replica]:
-        """The replicas in rotation.
+        """The replicas that serve reads.
 
         >>> ReplicaHealth(Health()).eligible()
         []
--- a/sumacloom/pooler/routing.py
+++ b/sumacloom/pooler/routing.py
@@ -1,8 +1,8 @@
-"""Rules compiled from the blueprint, one per database, each with a plan per kind of statement.
+"""Rules compiled from the configuration, one per database, each with a plan per kind of statement.
 
-A plan is a short program for the interpreter in floor.py:
-  lead      draw a wire of the backend that leads       (fenced: the backend itself answers RO)
-  rotation  draw a wire of the paper's rotation; LAGGING or an empty rotation turns to `lead_read`
+A plan is a short program for the interpreter in core.py:
+  lead      draw a connection of the primary       (fenced: the backend itself answers RO)
+  rotation  draw a connection of the replicas that serve reads; LAGGING or no replica turns to `lead_read`
   open      send BEGIN ahead and wait for its answer
   open_read send WAITPOS and BEGIN FETCH ahead and wait for the answer
   run       send the statement itself
@@ -41,7 +41,7 @@
 
 
 class Rule(NamedTuple):
-    """What the blueprint says of one database.
+    """What the configuration says of one database.
 
     >>> compile_rules(Configuration(1, [Route("r", "db", "svc")]))["db"].service
     'svc'
--- a/sumacloom/pooler/server_connection.py
+++ b/sumacloom/pooler/server_connection.py
@@ -37,7 +37,7 @@
 
 
 class ServerConnection:
-    """A wire's state machine: lines in, results out; asks give bytes to send.
+    """A connection's state machine: lines in, results out; asks give bytes to send.
 
     >>> connection = ServerConnection(1, "i-1", "svc", 0.0)
     >>> connection.login("me")
@@ -112,7 +112,7 @@
         return encode(f"QUERY {statement_id} {text}")
 
     def feed(self, data: bytes) -> list[ServerResult]:
-        """Takes bytes of the backend; anything odd sets `lost`, and the wire is closed.
+        """Takes bytes of the backend; anything odd sets `lost`, and the connection is closed.
 
         >>> connection = ServerConnection(1, "i-1", "svc", 0.0); connection.feed(b"ROW stray\\r\\n"), connection.lost
         ([], True)
@@ -190,7 +190,7 @@
     def setup(self, values: dict, prepared: tuple | None, in_transaction: bool) -> list[str] | None:
         """The texts that put a session's values and a prepared shape in place.
 
-        None says that this wire can't do so inside its transaction.
+        None says that this connection can't do so inside its transaction.
 
         >>> ServerConnection(1, "i-1", "svc", 0.0).setup({"a": "1"}, ("FETCH", "q"), False)
         ['SET a 1', 'PREP p1 FETCH q']
--- a/sumacloom/pooler/server_pools.py
+++ b/sumacloom/pooler/server_pools.py
@@ -1,4 +1,4 @@
-"""The backends a counter knows, their wires, and which of them may be drawn."""
+"""The backends a pooler knows, their connections, and which of them may be drawn."""
 
 import logging
 import zlib
@@ -19,11 +19,11 @@
 SHARE_OF_BOUND = 0.6
 UNKNOWN_MEMBERS = 8
 MEMBERS_S = 10.0
-PACKED_S = 5.0  # so long after a statement in statement mode a wire is kept for the next
+PACKED_S = 5.0  # so long after a statement in statement mode a connection is kept for the next
 
 
 class ServerPools:
-    """All services and backends, as one counter sees them."""
+    """All services and backends, as one pooler sees them."""
 
     def __init__(self, settings: Settings):
         self.settings = settings
@@ -39,7 +39,7 @@
         self.next_key = 1
 
     def count_members(self, members: int, now: float) -> None:
-        """Takes the member count; the most of the last seconds counts, since wires outlive their ends.
+        """Takes the member count; the most of the last seconds counts, since connections outlive their ends.
 
         >>> pools = ServerPools(Settings("n", "r", "10.0.0.1", "z")); pools.count_members(3, 0.0); pools.count_members(2, 1.0)
         >>> pools.members
@@ -66,7 +66,7 @@
         return self.service_pools[service]
 
     def apply_record(self, record, now: float) -> list[ServerConnection]:
-        """Takes a backend's record from the news; gives the wires to shut if it is gone.
+        """Takes a backend's record from an update; gives the connections to shut if it is gone.
 
         >>> ServerPools(Settings("n", "r", "10.0.0.1", "z")).apply_record(None, 0.0)
         []
@@ -107,7 +107,7 @@
         return doomed
 
     def remove(self, name: str) -> list[ServerConnection]:
-        """Forgets a backend; gives its wires to shut.
+        """Forgets a backend; gives its connections to shut.
 
         >>> ServerPools(Settings("n", "r", "10.0.0.1", "z")).remove("i-1")
         []
@@ -131,7 +131,7 @@
         self.draining_zones = {zone: self.draining_zones.get(zone, now) for zone in zones}
 
     def closed_to_new(self, backend: Backend, now: float) -> bool:
-        """Whether even the lead must get nothing more, its zone or itself being emptied.
+        """Whether even the primary must get nothing more, its zone or itself being emptied.
 
         >>> pools = ServerPools(Settings("n", "r", "10.0.0.1", "z")); backend = Backend("i-1", "svc")
         >>> backend.zone = "z"; pools.closed_to_new(backend, 0.0)
@@ -142,7 +142,7 @@
         )
 
     def zone_closed(self, backend: Backend, now: float) -> bool:
-        """Whether the backend's zone is evacuated for so long that not even an open transaction may go on there.
+        """Whether the backend's zone has been drained for so long that not even an open transaction may go on there.
 
         >>> pools = ServerPools(Settings("n", "r", "10.0.0.1", "z")); backend = Backend("i-1", "svc"); backend.zone = "z"
         >>> pools.apply_zone_drains(["z"], 0.0); pools.zone_closed(backend, 0.1), pools.zone_closed(backend, 60.0)
@@ -183,7 +183,7 @@
         return True
 
     def primary_candidates(self, service_pool: ServicePool, rule, now: float) -> list[Backend]:
-        """The backends that may lead, the newest claim first.
+        """The backends that may be the primary, the newest claim first.
 
         >>> pools = ServerPools(Settings("n", "r", "10.0.0.1", "z")); pools.primary_candidates(pools.service_pool("s"), None, 0.0)
         []
@@ -247,7 +247,7 @@
         return [entry[-1] for entry in ranked]
 
     def fair_share(self, backend: Backend) -> float:
-        """This counter's fair share of the backend's connections; below 1 in a fleet larger than those.
+        """This pooler's fair share of the backend's connections; below 1 in a fleet larger than those.
 
         >>> pools = ServerPools(Settings("n", "r", "10.0.0.1", "z")); pools.members = 2; round(pools.fair_share(Backend("i-1", "svc")), 1)
         11.2
@@ -256,7 +256,7 @@
         return (service.maxconn if service else 32) * SHARE_OF_MAXCONN / max(1, self.members)
 
     def connection_limit(self, backend: Backend, now: float) -> int:
-        """How many wires this counter may hold to the backend: its fair share, or a few more until told of a crowd.
+        """How many connections this pooler may hold to the backend: its fair share, or a few more until told that the backend has too many.
 
         Until the members are counted it is a few: a fleet that starts at once would else take all of `maxconn` by
         whoever comes first.
@@ -284,7 +284,7 @@
         backend.backoff_until = max(backend.backoff_until, now + BACKOFF_S)
 
     def is_last_connection(self, backend: Backend, now: float) -> bool:
-        """Whether the one idle wire is all that is left under the cap: it is kept for the priority lane.
+        """Whether the one idle connection is all that is left under the cap: it is kept for the priority databases.
 
         >>> ServerPools(Settings("n", "r", "10.0.0.1", "z")).is_last_connection(Backend("i-1", "svc"), 0.0)
         False
@@ -294,7 +294,7 @@
         )
 
     def is_reserved(self, backend: Backend, pending, priority_databases: bool, now: float) -> bool:
-        """Whether the last wire is not for this one: it is kept for the priority lane, or for sessions that share wires
+        """Whether the last connection is not for this one: it is kept for the priority databases, or for sessions that share connections
         by the statement, which transactions with their pauses would else starve.
         """
         if pending.shares_connection:
@@ -308,7 +308,7 @@
         return (lacks_priority or packs) and self.is_last_connection(backend, now)
 
     def take_connection(self, backend: Backend, values: dict, prepared) -> ServerConnection | None:
-        """An idle wire, one that fits the session before one that needs a RESET.
+        """An idle connection, one that fits the session before one that needs a RESET.
 
         >>> ServerPools(Settings("n", "r", "10.0.0.1", "z")).take_connection(Backend("i-1", "svc"), {}, None) is None
         True
@@ -330,7 +330,7 @@
         return best[1]
 
     def new_connection(self, backend: Backend, now: float) -> ServerConnection | None:
-        """A wire to dial, if the cap and the backoff admit one.
+        """A connection to dial, if the cap and the backoff admit one.
 
         >>> pools = ServerPools(Settings("n", "r", "10.0.0.1", "z")); backend = Backend("i-1", "svc"); backend.zone = "z"
         >>> pools.new_connection(backend, 0.0).backend
@@ -351,7 +351,7 @@
     def prove_primary(
         self, backend: Backend, asked_at: float, position: Position | None, now: float
     ) -> None:
-        """A success that only a leader can give.
+        """A success that only a primary can give.
 
         >>> pools = ServerPools(Settings("n", "r", "10.0.0.1", "z")); backend = Backend("i-1", "s")
         >>> pools.prove_primary(backend, 1.0, Position(3, 4), 1.0); pools.service_pool("s").primary_name
@@ -368,14 +368,17 @@
             service_pool.primary_name = backend.name
             service_pool.replica_health.forget(backend.name)
             logger.info(
-                "the backend %s leads %s in term %d", backend.name, backend.service, position.term
+                "the backend %s is the primary of %s in term %d",
+                backend.name,
+                backend.service,
+                position.term,
             )
         if position:
             service_pool.primary_position = max(service_pool.primary_position, position)
             service_pool.primary_positions.note(asked_at, position)
 
     def observations(self, since: float, now: float) -> list[PositionObservation]:
-        """The positions of replicas that this counter itself read after a moment.
+        """The positions of replicas that this pooler itself read after a moment.
 
         >>> ServerPools(Settings("n", "r", "10.0.0.1", "z")).observations(0.0, 1.0)
         []
@@ -390,7 +393,7 @@
         ]
 
     def take_observations(self, observations: list[PositionObservation], now: float) -> None:
-        """Positions that other counters read.
+        """Positions that other poolers read.
 
         >>> ServerPools(Settings("n", "r", "10.0.0.1", "z")).take_observations([], 1.0)
         """
@@ -407,7 +410,7 @@
                     )
 
     def record_read_only(self, backend: Backend, now: float) -> None:
-        """The backend said RO: it does not lead.
+        """The backend said RO: it is not the primary.
 
         >>> backend = Backend("i-1", "s"); ServerPools(Settings("n", "r", "10.0.0.1", "z")).record_read_only(backend, 4.0)
         >>> backend.read_only_at
@@ -416,7 +419,7 @@
         backend.read_only_at = now
 
     def record_failure(self, backend: Backend, now: float) -> None:
-        """A wire of the backend was refused, cut or went silent: it rests for a growing while.
+        """A connection of the backend was refused, cut or went silent: it rests for a growing while.
 
         >>> backend = Backend("i-1", "s"); ServerPools(Settings("n", "r", "10.0.0.1", "z")).record_failure(backend, 4.0)
         >>> backend.backoff_until
@@ -432,7 +435,7 @@
         self.service_pool(backend.service).replica_health.silent(backend.name, now)
 
     def record_success(self, backend: Backend) -> None:
-        """A wire of the backend came up or answered.
+        """A connection of the backend came up or answered.
 
         >>> backend = Backend("i-1", "s"); ServerPools(Settings("n", "r", "10.0.0.1", "z")).record_success(backend)
         """
--- a/sumacloom/pooler/server_results.py
+++ b/sumacloom/pooler/server_results.py
@@ -1,4 +1,4 @@
-"""What happens when a wire comes up, answers, errs or is lost; and the send rules that follow.
+"""What happens when a connection comes up, answers, errs or is lost; and the send rules that follow.
 
 A statement that was certainly not run may go out again; a read may; a write or COMMIT that may
 have reached its backend never does. Promises are made only where they are certainly true.
@@ -46,7 +46,9 @@
         if connection.key in core.connections:
             RESULTS[result.tag](core, connection, result, now)
     if connection.lost and connection.key in core.connections:
-        logger.warning("the backend %s spoke out of turn: its wire is closed", connection.backend)
+        logger.warning(
+            "the backend %s spoke out of turn: its connection is closed", connection.backend
+        )
         connection_lost(core, connection, "it spoke out of turn", now)
 
 
@@ -62,10 +64,10 @@
 
 @result_of("login")
 def login_result(core, connection, result, now: float) -> None:
-    """A wire is up, or its backend refused it."""
+    """A connection is up, or its backend refused it."""
     backend = observe(core, connection, result, now)
     if result.code:
-        logger.info("the backend %s refused a wire: %s", connection.backend, result.code)
+        logger.info("the backend %s refused a connection: %s", connection.backend, result.code)
         drop(core, connection)
         if backend and result.code == "MAXCONN":
             core.pools.record_connection_limit(backend, now)
@@ -81,7 +83,7 @@
 
 @result_of("pre")
 def setup_result(core, connection, result, now: float) -> None:
-    """One of the texts that prepare a wire was answered."""
+    """One of the texts that prepare a connection was answered."""
     pending = connection.owner
     if not isinstance(pending, PendingStatement) or pending.stage != "setup":
         connection.dirty = connection.dirty or bool(result.code)
@@ -127,7 +129,7 @@
 
 
 def setup_mishap(core, pending, result, now: float) -> None:
-    """The wire could not be prepared; nothing of the client's has run."""
+    """The connection could not be prepared; nothing of the client's has run."""
     connection, transaction = pending.connection, pending.transaction
     if transaction and transaction.connection is connection and transaction.statements_run:
         fail_transaction(
@@ -138,7 +140,7 @@
 
 
 def requeue(core, pending, code: str, now: float) -> None:
-    """Back to the waitlist after a send that did not run, its wire freed."""
+    """Back to the queue after a send that did not run, its connection freed."""
     connection, transaction = pending.connection, pending.transaction
     backend = core.pools.backends.get(connection.backend)
     if transaction:
@@ -165,7 +167,7 @@
 
 
 def drained_meanwhile(core, pending, now: float) -> bool:
-    """Whether the zone of the errand's backend is closed by now; if so it is taken back before anything is sent."""
+    """Whether the zone of the statement's backend is closed by now; if so it is taken back before anything is sent."""
     connection, transaction = pending.connection, pending.transaction
     backend = core.pools.backends.get(connection.backend)
     if backend is None or not core.pools.zone_closed(backend, now):
@@ -185,7 +187,7 @@
     if not isinstance(pending, PendingStatement) or pending.stage != "run":
         settle(core, connection, now)
         return
-    # a COMMIT that wrote nothing succeeds even where the lead was lost: it proves nothing
+    # a COMMIT that wrote nothing succeeds even where the primary was lost: it proves nothing
     proves = not result.code and pending.plan[0] == "lead" and pending.statement.kind != "commit"
     if proves and backend:
         core.pools.prove_primary(backend, result.asked_at, result.position, now)
@@ -295,7 +297,7 @@
 
 
 def seek_anchor(core, service_pool, now: float) -> None:
-    """Asks the lead for a position when ordinary traffic gave none of late."""
+    """Asks the primary for a position when ordinary traffic gave none of late."""
     if service_pool.seeking is not None and now - service_pool.seeking < 0.5:
         return
     for backend in core.pools.primary_candidates(service_pool, None, now)[:1]:
--- a/sumacloom/pooler/service_pool.py
+++ b/sumacloom/pooler/service_pool.py
@@ -1,4 +1,4 @@
-"""One backend and one service, as a counter sees them."""
+"""One backend and one service, as a pooler sees them."""
 
 from sumacloom.pooler.primary_positions import PrimaryPositions
 from sumacloom.pooler.replica_health import ReplicaHealth
@@ -8,7 +8,7 @@
 
 
 class Backend:
-    """One backend: what its beats say, its wires, and how it has behaved here."""
+    """One backend: what its heartbeats say, its connections, and how it has behaved here."""
 
     __slots__ = (
         "backoff",
@@ -57,7 +57,7 @@
 
 
 class ServicePool:
-    """One service: its backends, rotation and anchors."""
+    """One service: its backends, replicas and known positions."""
 
     __slots__ = (
         "backends",
--- a/sumacloom/pooler/session.py
+++ b/sumacloom/pooler/session.py
@@ -25,7 +25,7 @@
 
 
 class Transaction:
-    """A client's transaction; its wire is drawn at the first statement, not at BEGIN."""
+    """A client's transaction; its connection is drawn at the first statement, not at BEGIN."""
 
     __slots__ = (
         "connection",
@@ -44,10 +44,10 @@
         self.connection = None
         self.failed = ""
         self.values_changed = (
-            False  # SET inside it: the wire's record is not to be trusted after an ABORT
+            False  # SET inside it: the connection's record is not to be trusted after an ABORT
         )
         self.statements_run = 0  # statements that succeeded
-        self.writes = []  # those of them that write, as listeners get them
+        self.writes = []  # those of them that write, as subscribers get them
         self.rested_at = now
         self.unclear = False  # its backend no longer knew of it: no promise
 
@@ -81,7 +81,7 @@
         self.key, self.address = key, address
         self.who, self.mode = "", "transaction"
         self.plain, self.tight_at, self.stateful = 0, now, False  # of how it was seen to behave
-        self.region = None  # (generation of the access list, region), once looked up
+        self.region = None  # (version of the access list, region), once looked up
         self.splitter = LineSplitter()
         self.database = None
         self.values, self.names = {}, {}
@@ -252,7 +252,7 @@
 
 
 def server_text(statement: Statement, server_names: dict) -> str:
-    """The text as a wire must carry it: unchanged, but for the wire's own prepared name.
+    """The text as a connection must carry it: unchanged, but for the connection's own prepared name.
 
     >>> server_text(decode("1 FETCH a", {}), {})
     'FETCH a'
--- a/sumacloom/pooler/stage_timers.py
+++ b/sumacloom/pooler/stage_timers.py
@@ -1,10 +1,10 @@
-"""What the clock does to errands, stage by stage: the register of its handlers."""
+"""What the clock does to statements, stage by stage: the register of its handlers."""
 
 AT = {}
 
 
 def stage(name: str):
-    """Registers what the clock does to errands at a stage.
+    """Registers what the clock does to statements at a stage.
 
     >>> stage("nothing")(len) is len
     True
--- a/sumacloom/pooler/statement_handlers.py
+++ b/sumacloom/pooler/statement_handlers.py
@@ -40,7 +40,7 @@
 
 @handles("begin", "begin_read")
 def handle_begin(core, session: Session, statement, now: float) -> None:
-    """A transaction begins here; its wire is drawn at its first statement."""
+    """A transaction begins here; its connection is drawn at its first statement."""
     rule = core.rules.get(session.database)
     if session.transaction:
         core.reply(session, ["ERR MALFORMED a transaction is open"], now)
@@ -70,7 +70,7 @@
 
 @handles("abort")
 def handle_abort(core, session: Session, statement, now: float) -> None:
-    """ABORT is answered here; the wire is rolled back behind it."""
+    """ABORT is answered here; the connection is rolled back behind it."""
     transaction, session.transaction = session.transaction, None
     if transaction is None:
         core.reply(session, ["ERR MALFORMED no transaction is open"], now)
@@ -84,7 +84,7 @@
 
 @handles("set")
 def handle_set(core, session: Session, statement, now: float) -> None:
-    """SET is kept here and put on a wire when one is drawn."""
+    """SET is kept here and put on a connection when one is drawn."""
     if len(session.values) >= MOST_VALUES and statement.name not in session.values:
         core.reply(session, ["ERR TOOLONG too many session values"], now)
         return
@@ -95,7 +95,7 @@
 
 @handles("prep")
 def handle_prep(core, session: Session, statement, now: float) -> None:
-    """PREP is kept here and put on a wire when it runs."""
+    """PREP is kept here and put on a connection when it runs."""
     if len(session.names) >= MOST_VALUES and statement.name not in session.names:
         core.reply(session, ["ERR TOOLONG too many prepared names"], now)
         return
--- a/sumacloom/pooler/status_report.py
+++ b/sumacloom/pooler/status_report.py
@@ -1,4 +1,4 @@
-"""A counter's own state, for the admin API."""
+"""A pooler's own state, for the admin API."""
 
 from sumacloom.transport.update_cache import (
     body_checksum,
@@ -8,7 +8,7 @@
 
 
 def report_of(core, controller_session, now: float) -> dict:
-    """The counter's row and its rotation's rows."""
+    """The pooler's row and its rotation's rows."""
     settings, pools = core.settings, core.pools
     digest = controller_session.cache.digest()
     pooler = {
--- a/sumacloom/pooler/timers.py
+++ b/sumacloom/pooler/timers.py
@@ -1,4 +1,4 @@
-"""What a counter does by the clock: cutoffs, sweeps, warm wires, leaving in order."""
+"""What a pooler does by the clock: cutoffs, sweeps, warm connections, leaving in order."""
 
 import logging
 
@@ -9,26 +9,26 @@
 logger = logging.getLogger(__name__)
 SETUP_TIMEOUT_S = 0.25
 STILL_S = (
-    0.25  # between two looks at the clock: this counter stood still, and reads before it judges
+    0.25  # between two looks at the clock: this pooler was stalled, and reads before it judges
 )
 INTERNAL_TIMEOUT_S = 0.8
-UNREAD_S = 5.0  # where nothing was drawn from a rotation for so long, it is not swept
+UNREAD_S = 5.0  # where nothing was drawn from the replicas for so long, it is not swept
 DIAL_TIMEOUT_S = 0.8
 READ_AGAIN_S = 0.9
 UNLISTED_S = 2.3
 LOGIN_TIMEOUT_S = 5.0
 WARM_EVERY_S = 0.5
 SCARCE_S = 1.0
-SPARE_S = 2.0  # idle for so long, a wire above the cap is closed: others may have none
+SPARE_S = 2.0  # idle for so long, a connection above the cap is closed: others may have none
 HELD_SHARE = 0.45  # of its aim: how long a statement is held for a backend to come
 MOST_HELD = 0.9  # and of its time-out
-LONG_OUTAGE_S = 2.0  # without a lead for so long, hope is thin:
+LONG_OUTAGE_S = 2.0  # without a primary for so long, hope is thin:
 HELD_LONG = 0.2  # it is held for this share of its aim only
-HELD_ALONE = 0.04  # and for this one by a counter that hears no settled registrar
+HELD_ALONE = 0.04  # and for this one by a pooler that hears no controller that is in a quorum
 
 
 def tick(core: PoolerCore, now: float) -> None:
-    """All that is due; the shell calls it some twenty times a second."""
+    """All that is due; the process calls it some twenty times a second."""
     since, core.ticked_at = core.ticked_at, now
     core.stalled = since is not None and now - since > STILL_S and not core.stalled
     if core.stalled:
@@ -51,7 +51,7 @@
 
 @stage("waiting")
 def check_waiting(core, pending, now: float) -> None:
-    """An errand that can't be started in time is given up at once, not at the end."""
+    """A statement that can't be started in time is given up at once, not at the end."""
     service_pool = core.pools.service_pool(pending.rule.service)
     without_primary = (
         service_pool.without_primary_since is not None
@@ -60,7 +60,7 @@
     held = now - pending.received_at
     lost = (
         core.isolated and service_pool.without_primary_since is not None
-    )  # a new lead may stand where we can't hear of it
+    )  # a new primary may stand where we can't hear of it
     fair_share = HELD_ALONE if lost else HELD_LONG if without_primary else HELD_SHARE
     hold = (
         pending.rule.goal_s * fair_share
@@ -71,12 +71,12 @@
         session = pending.session
         completion.refuse(core, pending, now)
         if lost and session.state == "I" and session.pending is None:
-            core.shut_session(session, now)  # it meets another counter, which may be better placed
+            core.shut_session(session, now)  # it meets another pooler, which may be better placed
 
 
 @stage("setup")
 def check_setup(core, pending, now: float) -> None:
-    """A wire that leaves our own texts unanswered is dark."""
+    """A connection that leaves our own texts unanswered is dark."""
     bound = (
         pending.transaction and pending.transaction.statements_run
     )  # a silence here would end it, not send it elsewhere
@@ -86,7 +86,7 @@
 
 @stage("paused")
 def check_paused(core, pending, now: float) -> None:
-    """A statement that found its backend busy goes out again on the same wire."""
+    """A statement that found its backend busy goes out again on the same connection."""
     if now >= pending.deadline:
         completion.fail_transaction(core, pending, "BUSY", now)
     elif now >= pending.not_before:
@@ -134,7 +134,7 @@
 
 
 def check_connections(core, now: float) -> None:
-    """Closes wires that leave a text of our own unanswered."""
+    """Closes connections that leave a text of our own unanswered."""
     late = [
         connection
         for connection in core.connections.values()
@@ -148,7 +148,7 @@
 
 
 def warm(core, now: float) -> None:
-    """Keeps one wire to every backend that this counter may need; where connections are scarce, none unused."""
+    """Keeps one connection to every backend that this pooler may need; where connections are scarce, none unused."""
     if core.configuration is None:
         return
     wanted = {route.svc for route in core.configuration.routes}
@@ -201,7 +201,7 @@
 
 
 def advance_shutdown(core, now: float) -> None:
-    """Walks the chart `leaving` by the clock."""
+    """Walks the state machine `leaving` by the clock."""
     grace = core.settings.bounds.grace_s
     gone_for = now - core.leaving_at
     if gone_for >= min(UNLISTED_S, grace * 0.4):
@@ -215,7 +215,7 @@
 
 
 def shutdown_event(core, event: str, now: float) -> None:
-    """One event of leaving, and what the chart says to do."""
+    """One event of leaving, and what the state machine says to do."""
     core.leaving, actions = SHUTDOWN.step(core.leaving, event)
     for action in actions:
         if action == "say_leaving":
--- a/tests/calls_world.py
+++ b/tests/calls_world.py
@@ -1,4 +1,4 @@
-"""Backends that really run statements, and clients that check what they hear, around the real counter core."""
+"""Backends that really run statements, and clients that check what they hear, around the real pooler core."""
 
 from collections import Counter, deque
 
@@ -16,7 +16,7 @@
         self.key, self.name, self.inbox, self.buffer = key, name, deque(), b""
         self.mode, self.failed, self.writes = None, False, []  # mode: of the open transaction
         self.values, self.kept_values, self.names = {}, {}, {}
-        self.closed = False  # by the counter; what was sent may yet run
+        self.closed = False  # by the pooler; what was sent may yet run
 
     def begin(self, mode):
         self.mode, self.failed, self.writes, self.kept_values = mode, False, [], dict(self.values)
@@ -169,7 +169,7 @@
             while conn.inbox:
                 self.serve(conn)
 
-    # -------------------------------------------------------- the counter's reading
+    # -------------------------------------------------------- the pooler's reading
     def deliver(self, conn, most=None):
         data, conn.buffer = (
             (conn.buffer, b"") if most is None else (conn.buffer[:most], conn.buffer[most:])
--- a/tests/crashes.py
+++ b/tests/crashes.py
@@ -1,4 +1,4 @@
-"""A disk in memory, for the ledger: what a loss of power may leave of it, in every mix."""
+"""A disk in memory, for the log: what a loss of power may leave of it, in every mix."""
 
 import errno
 import itertools
@@ -31,7 +31,7 @@
 
 
 class MemoryDisk:
-    """Stands for `os` and `open` in the ledger; one flat folder. `fail_at` is the step that is refused."""
+    """Stands for `os` and `open` in the log; one flat folder. `fail_at` is the step that is refused."""
 
     O_RDONLY, O_RDWR, O_CREAT, O_TRUNC, O_APPEND = (
         os.O_RDONLY,
--- a/tests/dutyland.py
+++ b/tests/dutyland.py
@@ -82,7 +82,7 @@
         return self.world.now
 
     def announce(self, message):
-        """Word to counters, of which there are none."""
+        """Word to poolers, of which there are none."""
 
     async def flush(self):
         """What is put out leaves with the next step."""
@@ -179,7 +179,7 @@
         self.show()
 
     def show(self):
-        """Every registrar sees the backends as they are."""
+        """Every controller sees the backends as they are."""
         records = {
             name: BackendRecord(name, service, "10.0.1.1:80", "a", role=row[0])
             for service, rows in self.rows.items()
--- a/tests/model/walk.py
+++ b/tests/model/walk.py
@@ -53,7 +53,7 @@
 
 
 def order(world, number, method):
-    """An operator's or a registrar's order at one that is not frozen."""
+    """An operator's or a controller's order at one that is not frozen."""
     ip = pick(world, number, set(world.nodes) - world.frozen)
     if ip and world.orders < ORDERS:
         getattr(world, method)(ip)
--- a/tests/model/world.py
+++ b/tests/model/world.py
@@ -70,7 +70,7 @@
 
     # ------------------------------------------------------------ invariants
     def decided_at(self, ip, key, proposal_number, value):
-        """One value per ballot; one chain per key; one voter set per generation; fences only rise."""
+        """One value per ballot; one chain per key; one voter set per version; fences only rise."""
         if self.committed.setdefault((key, tuple(proposal_number)), value) != value:
             raise Violation(f"{key}: two values were decided at {proposal_number}")
         chain = sorted(
@@ -273,7 +273,7 @@
                     for key, (
                         proposal_number,
                         _value,
-                    ) in node.committed.items():  # as the registrar does on a beat
+                    ) in node.committed.items():  # as the controller does on a heartbeat
                         if proposal_number > other.committed.get(key, ((0, "", 0),))[0]:
                             self.post.append((ip, peer, Committed(key, proposal_number)))
 
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -55,7 +55,7 @@
 
 
 class Stage:
-    """A counter's floor at zone `a`; backends p (leads, zone a), q (zone a) and r (zone b)."""
+    """A pooler's floor at zone `a`; backends p (leads, zone a), q (zone a) and r (zone b)."""
 
     def __init__(self, configuration=None, **changes):
         self.now = 100.0
@@ -63,7 +63,7 @@
             "edge-1", "counter", "10.0.0.1", "a", "north", zones={"a": "north", "b": "south"}
         )
         self.core = PoolerCore(self.settings)
-        self.core.pools.next_key = 1000  # wires apart from the clients 1, 2, 3
+        self.core.pools.next_key = 1000  # connections apart from the clients 1, 2, 3
         self.sent: dict = {}
         self.shut, self.dialled = [], []
         self.seq = 0
@@ -98,13 +98,13 @@
                 self.sent.setdefault(key, []).append(connection.login("edge-1").decode().strip())
 
     def tick(self, seconds=0.05):
-        """Lets time pass, with nothing to be read in it; after a standstill the counter looks twice."""
+        """Lets time pass, with nothing to be read in it; after a stall the pooler looks twice."""
         self.thaw(seconds)
         if self.core.stalled:
             self.thaw(0.0)
 
     def thaw(self, seconds):
-        """The counter stood still for a while: time has passed without a look at the clock."""
+        """The pooler was stalled for a while: time has passed without a look at the clock."""
         self.now += seconds
         timers.tick(self.core, self.now)
         self.act()
@@ -123,7 +123,7 @@
         return key
 
     def take(self, key):
-        """What was sent to a session or wire since the last look."""
+        """What was sent to a session or connection since the last look."""
         return self.sent.pop(key, [])
 
     def answer(self, connection, *lines):
@@ -148,7 +148,7 @@
         ]
 
     def warm(self, *names, position="1.10"):
-        """Brings one wire up to each backend."""
+        """Brings one connection up to each backend."""
         self.tick(1.0)
         for name in names or ("p", "q", "r"):
             connection = self.connections(name)[0]
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -64,7 +64,7 @@
 
 
 class Backend:
-    """One stand-in server: a log, a role, and the wire."""
+    """One stand-in server: a log, a role, and the connection."""
 
     def __init__(self, number: int, service: "Service"):
         self.name, self.zone = f"i-{number}", f"zone-{'abc'[number - 1]}"
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -1,4 +1,4 @@
-"""Access rules: verdicts, bad lists, what a counter does by them, and a whole fleet that changes its list under load."""
+"""Access rules: outcomes, bad lists, what a pooler does by them, and a whole fleet that changes its list under load."""
 
 import ipaddress
 import json
@@ -147,7 +147,7 @@
     assert name == last and (found and (found.order, found.current)) == stage
 
 
-# ---------------------------------------------------------------- one counter
+# ---------------------------------------------------------------- one pooler
 def enforced(stage, *rules, version=1, lapsed=False):
     admission.take_access(
         stage.core, AccessUpdate(version * 2 + 1, version, body(*rules)), lapsed, stage.now
@@ -248,7 +248,7 @@
         enforced(stage, HOME, version=version)
         caller(stage, version, "10.1.0.1")
     assert {row["generation"] for row in stage.core.access_control.rows("edge-1")} == {2, 3}
-    enforced(stage, AWAY, version=2)  # news never moves back
+    enforced(stage, AWAY, version=2)  # updates never moves back
     assert stage.core.access_control.access.version == 3
 
 
@@ -257,7 +257,7 @@
 
 
 def expected_of(raw, database, address):
-    """The verdict again, told plainly: rule, and whether it allows."""
+    """The outcome again, told plainly: rule, and whether it allows."""
     found = json.loads(raw)
     at = ipaddress.ip_address(address)
     nets = sorted(
@@ -364,7 +364,7 @@
     fleet.run(fleet.random.uniform(0.1, 2.0))
     fleet.split(True)  # the south hears no majority, mid-offer or mid-force
     holder = fleet.cluster.cores["10.0.0.1"].failover_lease.value.holder
-    if holder != "10.0.0.3":  # the duty's holder is lost with the offer open
+    if holder != "10.0.0.3":  # the lease's holder is lost with the offer open
         fleet.cluster.kill(holder)
     fleet.run(fleet.random.uniform(0.5, 2.0))
     if holder != "10.0.0.3":
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -4,7 +4,7 @@
 import pytest
 
 from sumacloom.pooler import completion, delivery
-from sumacloom.pooler.membership import QUIET_S, ControllerSession
+from sumacloom.pooler.controller_session import QUIET_S, ControllerSession
 from sumacloom.pooler.server_connection import ServerConnection
 from sumacloom.pooler.server_pools import ServerPools
 from sumacloom.settings import Settings
@@ -409,7 +409,7 @@
         return link
 
     async def thawed():
-        now[0] += QUIET_S + 5.0  # frozen with the session open, a beat lies unread
+        now[0] += QUIET_S + 5.0  # frozen with the session open, a heartbeat lies unread
         if looks_first:
             one.look(now[0])
 
--- a/tests/test_calls_model.py
+++ b/tests/test_calls_model.py
@@ -1,7 +1,7 @@
-"""A model of the data plane: the real counter core between clients and backends that really run statements.
+"""A model of the data plane: the real pooler core between clients and backends that really run statements.
 
 Steps come in any order: statements, answers whole, in parts, doubled or broken off, resets, standstills with backlog and
-timers in both orders, reused addresses, a lead that moves, leaving, configurations, evacuations. Each write's runs are
+timers in both orders, reused addresses, a lead that moves, leaving, configurations, drains. Each write's runs are
 counted, each stamp belongs to one statement, and each promise is held against what is kept.
 """
 
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -34,7 +34,7 @@
 
 # ---------------------------------------------------------------- a disk that is full
 class FullDisk(WriteAheadLog):
-    """A ledger on a disk of so many bytes; `refusals` counts what did not fit."""
+    """A log on a disk of so many bytes; `refusals` counts what did not fit."""
 
     room, refusals, drafts, appended, most = 1 << 30, 0, 0, 0, 0
 
@@ -305,7 +305,7 @@
 
 
 class FolderDisk:
-    """A ledger of the real kind for `Land`, in a folder of its own."""
+    """A log of the real kind for `Land`, in a folder of its own."""
 
     def __init__(self, folder):
         self.folder = str(folder)
@@ -321,7 +321,7 @@
 
 
 class StormyLand(ControllerCluster):
-    """`Land` on real ledgers, snapshots taken when due; notes the most that each disk held."""
+    """`Land` on real logs, snapshots taken when due; notes the most that each disk held."""
 
     def __init__(self, seed, folder):
         self.folder, self.most = folder, {}
@@ -346,7 +346,7 @@
 
 
 def body(ver, luck):
-    """A blueprint of some 6.6 KB of which each change alters a few numbers."""
+    """A configuration of some 6.6 KB of which each change alters a few numbers."""
     routes = [
         {
             "name": f"route-{number}",
@@ -362,7 +362,7 @@
 
 
 def storm(cluster, first, changes):
-    """That many blueprints one after another, proposed by whoever is there; gives the last."""
+    """That many configurations one after another, proposed by whoever is there; gives the last."""
     base = first - 1
     for ver in range(first, first + changes):
         at, raw = cluster.random.choice(list(cluster.cores)), body(ver, cluster.random)
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -15,11 +15,11 @@
 from .test_voters import ControllerCluster
 
 A, B, C = "10.0.0.1", "10.0.0.2", "10.0.0.3"
-SLACK_S = 0.2  # the way of a beat, and a step of the clock
+SLACK_S = 0.2  # the way of a heartbeat, and a step of the clock
 
 
 class Strait(ControllerCluster):
-    """A land whose links may be cut one way, and whose registrars may stand still while letters pile up."""
+    """A land whose links may be cut one way, and whose controllers may stand still while letters pile up."""
 
     def __init__(self, seed, **sizes):
         self.deaf, self.frozen, self.backlog, self.until = set(), {}, [], 1e9
@@ -46,7 +46,7 @@
         return one
 
     def change(self, ip, ver, base):
-        """Decides a blueprint, trying again as operators do."""
+        """Decides a configuration, trying again as operators do."""
         while True:
             proposal = self.put(ip, ver, base)
             while proposal.outcome is None:
@@ -135,7 +135,7 @@
     for ip in (B, C):
         cluster.cores[ip].complete_uncommitted = lambda now: (
             None
-        )  # the sweep would hide what the beats must tell
+        )  # the sweep would hide what the heartbeats must tell
     cluster.deaf = {(A, C), (C, A)}
     cluster.cores[A].broadcast = lambda message: None
     proposal = cluster.put(A, 2, 1)
@@ -184,7 +184,7 @@
 
 
 def just_started(seed):
-    """A land, and one registrar of it that has sent its first beats and heard nobody."""
+    """A land, and one controller of it that has sent its first heartbeats and heard nobody."""
     cluster = Strait(seed)
     one = cluster.cores[C]
     one.tick(cluster.now)
@@ -192,7 +192,7 @@
 
 
 def peer_heartbeat(one, ip, committed, uncommitted=None, echoed_number=None):
-    """A beat of a peer that has heard our newest, or an older one."""
+    """A heartbeat of a peer that has heard our newest, or an older one."""
     one.receive(
         ip,
         PeerHeartbeat(
@@ -221,7 +221,7 @@
 
 @pytest.mark.parametrize(("committed", "uncommitted", "expected"), FIRST_WORDS)
 def test_a_registrar_just_started_is_settled_only_by_a_whole_word(committed, uncommitted, expected):
-    """A peer's beat out of turn tells nothing of what is decided; it was read as "nothing is"."""
+    """A peer's heartbeat out of turn tells nothing of what is decided; it was read as "nothing is"."""
     cluster, one = just_started(15)
     peer_heartbeat(one, A, committed, uncommitted)
     assert one.has_quorum_contact(cluster.now) and one.in_quorum(cluster.now) is expected
@@ -249,7 +249,7 @@
 
 
 def test_after_a_loss_of_all_power_contact_is_back_within_a_few_ways():
-    """A beat's interval more in the dark is so much longer until counters may say that they are ready."""
+    """A heartbeat's interval more in the dark is so much longer until poolers may say that they are ready."""
     cluster = Strait(18, loss=0.0)
     cluster.run(3.0)
     cluster.change(A, 1, 0)
--- a/tests/test_contact_callers.py
+++ b/tests/test_contact_callers.py
@@ -1,4 +1,4 @@
-"""What a registrar without a majority says to its callers, and whom a counter believes."""
+"""What a controller without a majority says to its callers, and whom a pooler believes."""
 
 import json
 from types import SimpleNamespace
@@ -11,8 +11,8 @@
 from sumacloom.consensus.proposal_number import ProposalNumber
 from sumacloom.controller.admin import router
 from sumacloom.http import Reply, Request
+from sumacloom.pooler.controller_session import ALONE_S, CLAIM_S, ControllerSession
 from sumacloom.pooler.core import PoolerCore
-from sumacloom.pooler.membership import ALONE_S, CLAIM_S, ControllerSession
 from sumacloom.settings import Settings
 from sumacloom.transport.messages import ControllerHeartbeat, Update
 from sumacloom.transport.updates import BackendRecord, UpdateDigest
@@ -20,9 +20,9 @@
 from .test_contact import AWAY, HOME, SLACK_S, A, C, Strait, peer_heartbeat
 
 
-# ---------------------------------------------------------------- counters
+# ---------------------------------------------------------------- poolers
 class Hand:
-    """A counter's session by hand: its clock, its member, and what it sends."""
+    """A pooler's session by hand: its clock, its member, and what it sends."""
 
     def __init__(self):
         self.now, self.sent = 100.0, []
@@ -53,13 +53,13 @@
 
 
 def test_a_counter_dates_its_sureness_by_its_own_clock():
-    """A counter that stood still read a backlog of beats, and took itself for sure."""
+    """A pooler that was stalled read a backlog of heartbeats, and took itself for sure."""
     hand = Hand()
     sent = hand.heartbeat()
     hand.now += 0.05
     hand.receive(sent)
     assert hand.controller_session.is_current
-    hand.now += 5.0  # stands still; what piled up answers old beats
+    hand.now += 5.0  # stands still; what piled up answers old heartbeats
     hand.receive(sent)
     assert not hand.controller_session.is_current
     sent = hand.heartbeat()
@@ -116,7 +116,7 @@
 
 
 class SimulatedProcess:
-    """The registrar C of a land, as its callers meet it."""
+    """The controller C of a land, as its callers meet it."""
 
     def __init__(self, cluster):
         self.cluster, self.core, self.settings, self.max_configuration_bytes = (
@@ -222,7 +222,7 @@
 
 
 def test_a_healed_registrar_that_lacks_something_refuses_nothing_by_what_it_holds():
-    """An unknown database may be in the blueprint that it lacks."""
+    """An unknown database may be in the configuration that it lacks."""
     cluster, process = cut_off()
     cluster.deaf = set()
     cluster.run(3.0)
@@ -248,7 +248,7 @@
 
 
 ANSWERS = [
-    # (what the registrars answer in turn, whose answer is taken)
+    # (what the controllers answer in turn, whose answer is taken)
     ([Reply(200, b"[1]", "own 9"), Reply(200, b"[2]", "")], b"[2]"),
     ([Reply(200, b"[1]", "own 9"), None], b"[1]"),
     ([None, Reply(200, b"[2]", "own 9")], b"[2]"),
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Ledger, roster, duties, failover plans, blueprint checks, settings: a table each."""
+"""Ledger, roster, duties, failover plans, configuration checks, settings: a table each."""
 
 import os
 import random
@@ -27,7 +27,7 @@
 from .changes import error_name
 
 
-# ---------------------------------------------------------------- ledger
+# ---------------------------------------------------------------- log
 @pytest.mark.parametrize("kept", range(12))
 def test_a_torn_tail_is_cut_at_any_byte(tmp_path, kept):
     folder = str(tmp_path)
@@ -57,7 +57,7 @@
     assert sorted(os.listdir(folder)) == ["draft", "log-2", "snapshot-2"]
 
 
-# ---------------------------------------------------------------- office
+# ---------------------------------------------------------------- controller core
 def core(folder, ip="10.0.0.1", bootstrap=True, now=0.0):
     seeds = [f"10.0.0.{n}:80" for n in (1, 2, 3)]
     settings = Settings("core", "registrar", ip, "a", seeds=seeds, bootstrap=bootstrap)
@@ -66,7 +66,7 @@
 
 
 class Fleet:
-    """Three offices and their post, delivered in order unless a pair is cut."""
+    """Three controllers and their post, delivered in order unless a pair is cut."""
 
     def __init__(self, folder):
         self.folder, self.now, self.partitioned = folder, 0.0, set()
@@ -137,7 +137,7 @@
 
 
 def test_after_a_loss_of_all_power_the_backends_are_known_before_they_beat(tmp_path):
-    """Found on inc-ecfe: after the closing fault counters waited up to a second for backends' beats."""
+    """Found on inc-ecfe: after the closing fault poolers waited up to a second for backends' heartbeats."""
     fleet = Fleet(tmp_path)
     fleet.run(1.5)
     one = fleet.cores["10.0.0.1"]
@@ -289,7 +289,7 @@
     assert registry.unreachable_since("p", 3, 11.0) is None
 
 
-# ---------------------------------------------------------------- news
+# ---------------------------------------------------------------- updates
 def test_news_never_moves_back():
     cache = UpdateCache()
     newer = BackendRecord("i", "s", "10.0.0.1:80", "a", phase="draining", seq=9)
@@ -345,7 +345,7 @@
     assert [replica.name for replica in replica_health.eligible()] == ["b"]
 
 
-# ---------------------------------------------------------------- blueprint, settings, charts
+# ---------------------------------------------------------------- configuration, settings, charts
 GOOD = (
     b'{"ver":1,"routes":[{"name":"r","host":"h","svc":"s","tmoMs":5}],"svcs":[{"name":"s"}],"x":1}'
 )
--- a/tests/test_duty_model.py
+++ b/tests/test_duty_model.py
@@ -1,4 +1,4 @@
-"""The failover duty as a model: any order of answers, losses, freezes, moves of the duty and restarts; what must hold stands in dutyland."""
+"""The failover lease as a model: any order of answers, losses, freezes, moves of the lease and restarts; what must hold stands in dutyland."""
 
 import random
 
@@ -24,7 +24,7 @@
 
 
 class DutyModel(RuleBasedStateMachine):
-    """Three registrars, two services, one platform."""
+    """Three controllers, two services, one platform."""
 
     @initialize(
         seed=some.integers(0, 999),
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -233,7 +233,7 @@
         (MINE, 4, False, True, 5),  # above the doubt already: nothing is to be raised
         (MINE, 5, True, True, 6),  # no answer, but decided
         (RAISED, 5, False, True, 6),
-        (OTHERS, 5, False, False, 5),  # another's duty is not taken back
+        (OTHERS, 5, False, False, 5),  # another's lease is not taken back
         (REBORN, 5, False, False, 5),
     ],
 )
--- a/tests/test_first_voters.py
+++ b/tests/test_first_voters.py
@@ -10,7 +10,7 @@
 
 
 def started(seeds, silent=(), nodes=None):
-    """Registrars that start for the first time, each with its own settings."""
+    """Controllers that start for the first time, each with its own settings."""
     cluster = Fleet(3, seeds=0)
     for ip, named in seeds.items():
         cluster.seeds, cluster.nodes = list(named), (nodes or {}).get(ip, 1)
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize(("seeds", "tried", "most"), FIRST_VOTERS)
 def test_a_vote_counts_only_for_who_counts_by_the_same_first_voters(seeds, tried, most):
-    """Found: two sets of one generation were one to the acceptors, and who was in both voted in both."""
+    """Found: two sets of one version were one to the acceptors, and who was in both voted in both."""
     cluster = started(seeds)
     for ip, one in cluster.cores.items():
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The operator's command line against registrars that are well, down, half down, or answer garbage."""
+"""The operator's command line against controllers that are well, down, half down, or answer garbage."""
 
 import http.server
 import json
@@ -50,7 +50,7 @@
 
 
 class Stub:
-    """A registrar that answers from a list of (status, body, headers), the last one for ever."""
+    """A controller that answers from a list of (status, body, headers), the last one for ever."""
 
     def __init__(self, *replies):
         self.replies, self.asked = list(replies), []
@@ -100,7 +100,7 @@
 
 DOWN = "127.0.0.1:1"
 CASES = [
-    # (replies of a registrar, command, exit code)
+    # (replies of a controller, command, exit code)
     ([reply(200, FLEET)], lambda at: commands.status(at=at), 0),
     ([reply(200, [])], lambda at: commands.COMMANDS["poolers"](at=at), 0),
     (
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -7,7 +7,7 @@
 from sumacloom.controller.policy.access import StampQueue
 from sumacloom.controller.pooler_sessions import PoolerSessions
 from sumacloom.controller.registry.members import Members
-from sumacloom.pooler.membership import ControllerSession
+from sumacloom.pooler.controller_session import ControllerSession
 from sumacloom.pooler.server_pools import ServerPools
 from sumacloom.settings import Settings
 from sumacloom.transport.messages import ControllerHeartbeat, Hello, Update, encode_frame
@@ -106,7 +106,7 @@
         return self.cluster.now
 
     def run(self, seconds):
-        """Gives messages and bytes per counter."""
+        """Gives messages and bytes per pooler."""
         self.messages = self.bytes = 0
         for _beat in range(round(seconds / BEAT_S)):
             self.cluster.run(BEAT_S)
@@ -137,7 +137,7 @@
 
 
 def change(fleet, ver):
-    """One change of the blueprint, and what it cost per counter beyond the beats; sightings rest meanwhile.
+    """One change of the configuration, and what it cost per pooler beyond the heartbeats; sightings rest meanwhile.
 
     One batch of sightings more in the second window than in the first weighed 390 bytes, more than the change itself.
     """
@@ -166,7 +166,7 @@
 
 
 def test_who_is_a_member_is_looked_up_no_more_often_in_a_larger_fleet(fleets, monkeypatch):
-    """Found by docs/CAPACITY.md: all members were looked at for each beat of each, and the registrars' time grew fourfold."""
+    """Found by docs/CAPACITY.md: all members were looked at for each heartbeat of each, and the controllers' time grew fourfold."""
     looked, rows = {25: 0, 100: 0}, Members.rows
     for size, fleet in fleets.items():
 
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -20,7 +20,7 @@
 
 
 class Call:
-    """One order or reading of an operator: tries at one registrar after another until an answer is clear."""
+    """One order or reading of an operator: tries at one controller after another until an answer is clear."""
 
     def __init__(self, cluster, key, what, change, most=6):
         self.cluster, self.key, self.what, self.most, self.change = cluster, key, what, most, change
@@ -117,7 +117,7 @@
 
 
 def operate(seed, order, seconds=60.0, most=8):
-    """A history: orders made by `order(land, calls)`, up to `most` under way, while registrars die and links are cut."""
+    """A history: orders made by `order(land, calls)`, up to `most` under way, while controllers die and links are cut."""
     cluster = ControllerCluster(seed, loss=0.05)
     cluster.late = []
     cluster.run(3.0)
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -1,4 +1,4 @@
-"""The priority lane comes into force only when every counter holds the offer."""
+"""The priority lane comes into force only when every pooler holds the offer."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 
 
 def poolers(fleet, held, at="10.0.0.1"):
-    """Beats of counters in session at one registrar, each with what it holds of the lanes."""
+    """Beats of poolers in session at one controller, each with what it holds of the lanes."""
     for node, priority_databases in held.items():
         fleet.cores[at].members.receive(node, "a", "10.0.0.9:7441", fleet.now, priority_databases)
 
@@ -57,7 +57,7 @@
     assert fleet.decide(others[0], offer(["books"]), PRIORITY_KEY).succeeded
     play(fleet, 5.0, {"edge-1": 2}, others[0])
     assert value(fleet, others[1]).in_force
-    assert not fleet.cores[holder].in_quorum(fleet.now)  # its counters must not rely on it
+    assert not fleet.cores[holder].in_quorum(fleet.now)  # its poolers must not rely on it
     fleet.partitioned.clear()
     play(fleet, 2.0, {"edge-1": 3}, others[0])
     assert fleet.cores[holder].cache.priority.databases == ["books"]
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger: old folders, damage told from a torn end, and every point at which it may be cut short."""
+"""The log: old folders, damage told from a torn end, and every point at which it may be cut short."""
 
 import copy
 import os
@@ -322,7 +322,7 @@
 
 
 def crash_everywhere(disk_of, fail_at=None, most=9):
-    """Plays the ledger's work on a disk in memory, and loses power at every step of it."""
+    """Plays the log's work on a disk in memory, and loses power at every step of it."""
     seen, acked, failed = set(), [], []
 
     def watch(disk):
--- a/tests/test_listen_command.py
+++ b/tests/test_listen_command.py
@@ -1,4 +1,4 @@
-"""The listeners' commands."""
+"""The subscribers' commands."""
 
 import json
 
--- a/tests/test_listeners.py
+++ b/tests/test_listeners.py
@@ -130,7 +130,7 @@
     assert [entry[:2] for entry in value.ended] == ([] if count else [("d", "books")])
 
 
-# ---------------------------------------------------------------- a counter
+# ---------------------------------------------------------------- a pooler
 def listened():
     stage = Stage()
     lead, _q, _r = stage.warm()
@@ -139,7 +139,7 @@
 
 
 def spooled(stage):
-    """What goes to the registrar; the rest of the effects is done."""
+    """What goes to the controller; the rest of the effects is done."""
     found = [entry[1] for entry in stage.core.effects if entry[0] == "spool"]
     stage.core.effects = [entry for entry in stage.core.effects if entry[0] != "spool"]
     stage.act()
@@ -147,7 +147,7 @@
 
 
 def look(stage):
-    """The clock's two looks after a standstill in which nothing came."""
+    """The clock's two looks after a stall in which nothing came."""
     for _look in range(2):
         timers.tick(stage.core, stage.now)
 
@@ -219,7 +219,7 @@
 
 
 ENDS = [
-    # (what the backend answers, or None for a lost wire, what listeners are told)
+    # (what the backend answers, or None for a lost connection, what subscribers are told)
     (("DONE 7.1", "READY I 1.12"), "done"),
     (("ERR RO p", "READY E 1.12"), "not"),
     (("ERR FAIL x", "READY E 1.12"), "doubtful"),
@@ -267,7 +267,7 @@
 
 # ---------------------------------------------------------------- the whole fleet
 class Caller:
-    """What the calls of the admin API see of a registrar in a town."""
+    """What the calls of the admin API see of a controller in a town."""
 
     def __init__(self, fleet, ip):
         self.fleet, self.core = fleet, fleet.cluster.cores[ip]
@@ -386,7 +386,7 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_after_a_split_under_load_all_lists_are_identical_and_each_item_came_once(seed):
-    """A region is cut and healed while couples are registered; a counter, the duty's holder, a disk are lost."""
+    """A region is cut and healed while couples are registered; a pooler, the lease's holder, a disk are lost."""
     fleet, cairo = opened(seed, loss=0.03)
     fleet.run(1.0), cairo.take()
     fleet.split(True)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -16,7 +16,7 @@
 
 
 class Fleet(ControllerCluster):
-    """A land whose registrars also freeze and thaw, leave in order, and are asked to decide."""
+    """A land whose controllers also freeze and thaw, leave in order, and are asked to decide."""
 
     ver = 1
 
@@ -63,7 +63,7 @@
         return self.now - since
 
     def decides(self, most_s=2.5):
-        """Whether a change is decided within the bound, at whichever registrar the caller asks next."""
+        """Whether a change is decided within the bound, at whichever controller the caller asks next."""
         since = self.now
         while self.now - since < most_s:
             for ip in sorted(self.cores):
@@ -111,7 +111,7 @@
 
 
 def placed(voters, silent, leaving, fresh, nodes):
-    """The registrar B in a fleet that stands so, at 100 s."""
+    """The controller B in a fleet that stands so, at 100 s."""
     cluster = ControllerCluster(1, nodes=nodes)
     one = cluster.cores[B]
     one.acceptor.quorum = QuorumConfiguration(7, (), voters)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -177,7 +177,7 @@
 
 @pytest.mark.parametrize("earlier", [[], ["y"]])
 def test_a_withdrawn_order_that_a_minority_accepted_is_never_finished(earlier):
-    """The withdrawal found nothing to do, and the next sweep brought the evacuation into force after all."""
+    """The withdrawal found nothing to do, and the next sweep brought the drain into force after all."""
     cluster = ControllerCluster(11, loss=0.0)
     cluster.run(3.0)
     for zone in earlier:
@@ -290,7 +290,7 @@
 
 
 class StubProcess:
-    """What the handlers of orders see of a registrar; changes are applied at once."""
+    """What the handlers of orders see of a controller; changes are applied at once."""
 
     def __init__(self, waking=False):
         self.settings, self.value, self.woken, self.max_configuration_bytes = (
--- a/tests/test_pooling.py
+++ b/tests/test_pooling.py
@@ -1,4 +1,4 @@
-"""Pool modes: what sessions do and what is judged of it, wrong judgements, and a fleet on a busy Saturday."""
+"""Pool modes: what sessions do and what is judged of it, wrong votes, and a fleet on a busy Saturday."""
 
 import json
 from collections import Counter, deque
@@ -39,7 +39,7 @@
 
 # ---------------------------------------------------------------- what is judged of what sessions do
 JUDGED = [
-    # (row held, requests, of them with state, seconds, what the counter says)
+    # (row held, requests, of them with state, seconds, what the pooler says)
     (None, 19, 0, 60.0, []),  # too few to tell
     (None, 60, 0, 9.0, []),  # too soon
     (None, 60, 9, 11.0, [("books", "", "statement", 0)]),
@@ -158,7 +158,7 @@
         False,
         0,
         "same",
-    ),  # two counters, or a repeat
+    ),  # two poolers, or a repeat
     (
         [apply_votes([ON]), apply_votes([("books", "", "transaction", 1)])],
         "transaction",
@@ -312,7 +312,7 @@
     assert command.set_mode("books", "odd", at=Stub(refusal("unknown_mode")).address) == 4
 
 
-# ---------------------------------------------------------------- wires
+# ---------------------------------------------------------------- connections
 def test_transactions_leave_the_last_wire_to_sessions_that_share_by_the_statement():
     stage = Stage()
     lead, _q, _r = stage.warm()
@@ -331,7 +331,7 @@
     begun = [
         connection for connection in (lead, second) if "QUERY - BEGIN" in stage.take(connection.key)
     ]
-    assert len(begun) == 1  # the third waits: one wire is kept
+    assert len(begun) == 1  # the third waits: one connection is kept
     stage.say(1, "QUERY 6 PUT a e")
     free = second if begun == [lead] else lead
     assert stage.take(free.key) == ["QUERY 6 PUT a e"]
@@ -351,7 +351,7 @@
 
 
 class Saturday(SimulatedFleet):
-    """Registrations on one database, searches on the other, and a log of which wire each transaction used."""
+    """Registrations on one database, searches on the other, and a log of which connection each transaction used."""
 
     def __init__(self, seed, wrong=False):
         super().__init__(seed, poolers=4, clients=8, databases=("books",))
@@ -371,7 +371,7 @@
         return pooler
 
     def watch(self, store):
-        """A client's COMMIT has its write's id and two more: it must come on that write's wire."""
+        """A client's COMMIT has its write's id and two more: it must come on that write's connection."""
         receive, connections = store.receive, {}
 
         def checked(connection, line):
@@ -389,7 +389,7 @@
         store.receive = checked
 
     def crash(self, name):
-        """The primary dies and comes back with its log: every wire and open transaction is gone."""
+        """The primary dies and comes back with its log: every connection and open transaction is gone."""
         self.stores[name].open.clear()
         self.post = deque(
             entry for entry in self.post if entry[3] != name
@@ -495,7 +495,7 @@
 
 
 def test_a_long_waitlist_costs_each_statement_no_more_looks_for_a_wire():
-    """Found by capacity.measure: 100 sessions were served 560 statements a second by one counter, 500 sessions 69."""
+    """Found by capacity.measure: 100 sessions were served 560 statements a second by one pooler, 500 sessions 69."""
     looks = {}
     for size in (20, 400):
         stage = Stage()
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -96,7 +96,7 @@
     pools.count_members(2, 0.0)
     assert pools.connection_limit(backend, now) == 14
     pools.count_members(4, 1.0)
-    pools.count_members(2, 2.0)  # wires of the two outlive them for a while
+    pools.count_members(2, 2.0)  # connections of the two outlive them for a while
     assert pools.connection_limit(backend, now) == 7
     pools.members = 100  # a fleet larger than the backend's connections
     assert (
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -187,7 +187,7 @@
 
 def test_a_vote_given_before_the_loss_is_not_counted_with_one_given_after_the_tale():
     """Found by reasoning on in-flight accepts: a voted, lost its disk and learned; the accept that was
-    still on its way to b must then be refused, or two values are decided on one generation.
+    still on its way to b must then be refused, or two values are decided on one version.
     """
     acceptors = {voter: Acceptor(PANEL, number) for number, voter in enumerate(VOTERS)}
     proposal_number = ProposalNumber(5, "p", 1)
--- a/tests/test_schedules.py
+++ b/tests/test_schedules.py
@@ -38,7 +38,7 @@
             0,
             {},
             0,
-        )  # statement id: wires it went out on and was not refused by
+        )  # statement id: connections it went out on and was not refused by
 
     def collect(self):
         for key in [key for key in self.stage.sent if key >= 1000]:
--- a/tests/test_spool.py
+++ b/tests/test_spool.py
@@ -1,4 +1,4 @@
-"""The only copy: an intent is on two disks before its counter hears of it, and a registrar that leaves hands it over."""
+"""The only copy: an intent is on two disks before its pooler hears of it, and a controller that leaves hands it over."""
 
 import msgspec
 import pytest
@@ -14,7 +14,7 @@
 
 
 class Post(Fleet):
-    """A fleet that notes what its counters hear, and on how many disks each intent was then."""
+    """A fleet that notes what its poolers hear, and on how many disks each intent was then."""
 
     def __init__(self, *rest, **named):
         self.held, self.numbers = [], 0
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize("home", [A, B, C])
 @pytest.mark.parametrize("trouble", ["none", "stuck", "dead", "deaf"])
 def test_a_counter_hears_of_its_intent_only_once_two_disks_hold_it(trouble, home):
-    """Found: one disk was enough after 0.2 s of silence, though a third registrar was there."""
+    """Found: one disk was enough after 0.2 s of silence, though a third controller was there."""
     cluster = Post(4, loss=0.0)
     cluster.run(3.0)
     cluster.intend(home)
@@ -116,7 +116,7 @@
 
 @pytest.mark.parametrize("stuck", [False, True])
 def test_one_that_leaves_hands_over_what_it_alone_holds(stuck):
-    """Found: a registrar that was stopped ended at once, and its machine took the only copy with it."""
+    """Found: a controller that was stopped ended at once, and its machine took the only copy with it."""
     cluster = Post(7)
     cluster.run(3.0)
     cluster.partitioned = {frozenset((A, ip)) for ip in (B, C)}
--- a/tests/test_statements.py
+++ b/tests/test_statements.py
@@ -105,7 +105,7 @@
             stage.take(connection.key)
             stage.answer(
                 connection, "DONE -", "READY I 1.11"
-            )  # after NOSUCH the wire is not trusted
+            )  # after NOSUCH the connection is not trusted
     again = [line for lines in stage.sent.values() for line in lines if line == "QUERY 1 PUT a b"]
     assert again == ["QUERY 1 PUT a b"]
 
@@ -223,7 +223,10 @@
     stage.take(lead.key)
     stage.answer(lead, "ERR FAIL no", "READY I -")
     sent = stage.take(lead.key)
-    assert sent == ["QUERY - RESET", "QUERY - SET tz cairo"]  # the wire is not trusted any more
+    assert sent == [
+        "QUERY - RESET",
+        "QUERY - SET tz cairo",
+    ]  # the connection is not trusted any more
 
 
 def test_a_session_that_leaves_midway_rolls_its_wire_back():
@@ -327,7 +330,7 @@
     stage.client(1, "search")
     stage.core.pools.apply_zone_drains(["a"], stage.now)
     stage.say(1, "QUERY 1 FETCH a")
-    stage.anchor(lead)  # the lead serves on until the hand-over
+    stage.anchor(lead)  # the primary serves on until the hand-over
     assert stage.take(far.key) and not stage.take(near.key)
     stage.now += 4.0
     stage.client(2, "books")
--- a/tests/test_undo.py
+++ b/tests/test_undo.py
@@ -195,7 +195,7 @@
     stage.core.apply_priority([], False, True, stage.now)
     stage.act()
     assert not stage.core.ready and 2 in stage.shut
-    stage.say(1, "QUERY 6 COMMIT")  # a transaction on its wire goes on
+    stage.say(1, "QUERY 6 COMMIT")  # a transaction on its connection goes on
     assert stage.take(lead.key) == ["QUERY 6 COMMIT"]
     stage.answer(lead, "DONE 7.1", "READY I 1.12")
     stage.take(1)
@@ -206,7 +206,7 @@
 # ---------------------------------------------------------------- the whole fleet
 @pytest.mark.parametrize("seed", range(8))
 def test_an_edit_that_misdirects_is_undone_everywhere_and_each_request_arrives_once(seed):
-    """Under load, with a counter cut off, one killed and one starting while the undo is on its way."""
+    """Under load, with a pooler cut off, one killed and one starting while the undo is on its way."""
     fleet = SimulatedFleet(seed, poolers=5)
     assert fleet.decide(
         "10.0.0.1", "blueprint", put_configuration(4, configuration(4, guarded=True), 0)
@@ -215,7 +215,7 @@
     edit = put_configuration(9, configuration(9, "shelf-b", guarded=True), 4)
     assert fleet.decide("10.0.0.2", "blueprint", edit).succeeded
     fleet.run(fleet.random.uniform(0.2, 1.0))
-    fleet.split(True)  # the south's counters hear nobody who has a majority
+    fleet.split(True)  # the south's poolers hear nobody who has a majority
     fleet.run(fleet.random.uniform(0.1, 3.0))
     fleet.kill_pooler(fleet.random.choice(fleet.poolers))
     undone = fleet.decide("10.0.0.1", "blueprint", undo_configuration(9))
--- a/tests/test_voters.py
+++ b/tests/test_voters.py
@@ -19,7 +19,7 @@
 
 
 class Disk:
-    """A ledger in memory: what is synced outlives the process, what is not may be gone."""
+    """A log in memory: what is synced outlives the process, what is not may be gone."""
 
     def __init__(self):
         self.kept, self.fresh, self.should_snapshot, self.damage = [], True, False, None
@@ -33,7 +33,7 @@
 
 
 class ControllerCluster:
-    """Registrars over a network that delays, loses and repeats; time and luck from one seed."""
+    """Controllers over a network that delays, loses and repeats; time and luck from one seed."""
 
     def __init__(self, seed, seeds=3, others=0, loss=0.03, nodes=1):
         self.random = random.Random(seed)
@@ -68,7 +68,7 @@
         original = one.commit
 
         def commit(key, proposal_number, value, now):
-            if key == "blueprint":  # two decided values on one generation never
+            if key == "blueprint":  # two decided values on one version never
                 found = decode(ConfigurationValue, value)
                 assert self.committed.setdefault(found.ver, found.body) == found.body
             if key not in ("blueprint", VOTERS_KEY):
@@ -111,7 +111,7 @@
                 )
 
     def mail(self, ip, node, message):
-        """A message for a counter, or for a registrar that is down."""
+        """A message for a pooler, or for a controller that is down."""
 
     def run(self, seconds):
         for _step in range(int(seconds / 0.02)):
@@ -266,7 +266,7 @@
 
 
 def test_one_way_deafness_is_no_majority():
-    """Found on registo-civil-control trouble-3: a registrar that hears all but is heard by none kept its counters."""
+    """Found on registo-civil-control trouble-3: a controller that hears all but is heard by none kept its poolers."""
     cluster = ControllerCluster(6)
     cluster.run(3.0)
     one = cluster.cores["10.0.0.2"]
@@ -299,7 +299,7 @@
 
 def test_what_was_decided_before_a_change_of_voters_is_held_by_the_new_ones():
     """The newcomer has learned, then a value is decided without it, then it votes and one of the two holders goes.
-    Mending by news is switched off, so that only the rounds of the change itself can carry the value over.
+    Mending by updates is switched off, so that only the rounds of the change itself can carry the value over.
     """
     cluster = ControllerCluster(8, loss=0.0)
     for one in cluster.cores.values():
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -1,11 +1,11 @@
-"""Waiting: how long statements are held, what goes first, and who gets wires."""
+"""Waiting: how long statements are held, what goes first, and who gets connections."""
 
 import pytest
 
 from .stage import CONFIGURATION, Stage
 
 HOLDS = [
-    # (seconds without a lead before the statement, word of a coming lead, held at least, at most; aim 400 ms, time-out 1 s)
+    # (seconds without a primary before the statement, word of a coming lead, held at least, at most; aim 400 ms, time-out 1 s)
     (0.0, False, 0.10, 0.25),
     (3.0, False, 0.0, 0.15),
     (0.0, True, 0.60, 0.95),
@@ -31,7 +31,7 @@
 def test_the_priority_lane_goes_first_and_keeps_the_last_wire():
     stage = Stage(
         svcs=[{"name": "svc", "maxconn": 23}]
-    )  # a fair share of two wires for eight members
+    )  # a fair share of two connections for eight members
     lead, *_others = stage.warm()
     stage.core.pools.backends["p"].connection_limit_until = stage.now + 9
     stage.core.apply_priority(["copies"], True, True, stage.now)
@@ -44,7 +44,7 @@
     second = stage.connections("p")[1]
     stage.take(second.key)
     stage.answer(second, "READY I 1.10")
-    assert stage.take(second.key) == []  # the last wire is kept
+    assert stage.take(second.key) == []  # the last connection is kept
     stage.say(3, "QUERY 3 PUT a b")
     assert stage.take(second.key) == ["QUERY 3 PUT a b"]
 
@@ -91,7 +91,7 @@
 def test_a_counter_that_hears_nobody_and_has_no_lead_lets_its_clients_go_elsewhere_at_once(
     isolated,
 ):
-    """Found on emra-tiles-control scale-2: cut off together with the old primary, three counters held what they
+    """Found on emra-tiles-control scale-2: cut off together with the old primary, three poolers held what they
     could not serve, for a lead that was on the other side.
     """
     stage = Stage()
@@ -138,8 +138,8 @@
 
 
 def test_a_fleet_that_starts_at_once_does_not_give_all_connections_to_whoever_comes_first():
-    """Found on a large day after all power was lost: 195 counters thought they were 8; 4,171 connections were reset,
-    and who had none stayed without, since idle wires above the fair share were kept.
+    """Found on a large day after all power was lost: 195 poolers thought they were 8; 4,171 connections were reset,
+    and who had none stayed without, since idle connections above the fair share were kept.
     """
     stage = Stage(svcs=[{"name": "svc", "maxconn": 800}])
     pools, lead = stage.core.pools, stage.core.pools.backends["p"]
--- a/tests/town.py
+++ b/tests/town.py
@@ -1,4 +1,4 @@
-"""A whole fleet without sockets: registrars, counters, backends and clients, time and luck from one seed."""
+"""A whole fleet without sockets: controllers, poolers, backends and clients, time and luck from one seed."""
 
 import random
 from collections import deque
@@ -40,11 +40,11 @@
 
 
 class Store:
-    """A backend that leads its service; its log holds what was committed, in order."""
+    """A primary its service; its log holds what was committed, in order."""
 
     def __init__(self, name, service):
         self.name, self.service, self.log, self.runs = name, service, [], 0
-        self.open = {}  # wire: writes of its transaction, None outside
+        self.open = {}  # connection: writes of its transaction, None outside
 
     def receive(self, connection, line):
         """The lines that answer one line."""
@@ -72,7 +72,7 @@
 
 
 class SimulatedPooler:
-    """One counter: its floor, its board, its wires to the stores."""
+    """One pooler: its floor, its board, its connections to the stores."""
 
     def __init__(self, fleet, number, region):
         self.fleet, self.node, self.region = fleet, f"edge-{number}", region
@@ -88,7 +88,7 @@
         self.lease, self.stamps, self.said = admission.AccessLease(), StampQueue(), None
 
     def controller(self):
-        """The registrar this counter can hear, if any."""
+        """The controller this pooler can hear, if any."""
         cluster = self.fleet.cluster
         return next(
             (
@@ -122,7 +122,7 @@
             self.said,
             (one.cache.access.order, self.stamps.confirmed_by(one.access.read_at)),
         )
-        if said:  # the beat before this one has arrived by now
+        if said:  # the heartbeat before this one has arrived by now
             self.lease.receive(said[0], self.cache.access.order, said[1], now)
         self.stamps.receive(None if self.lease.until is None else now, now)
         if update and self.cache.apply(update):
@@ -177,7 +177,7 @@
 
     def tick(self, now):
         if self.pooler is None or self.pooler not in self.fleet.poolers:
-            if self.lines:  # the counter died with something asked
+            if self.lines:  # the pooler died with something asked
                 self.end("UNKNOWN" if self.commits() else "ROLLEDBACK", now)
             ready = [pooler for pooler in self.fleet.poolers if pooler.core.ready]
             if not ready:
@@ -236,7 +236,7 @@
 
 
 class SimulatedFleet:
-    """Two regions: registrars and counters north and south, a link between that may be cut."""
+    """Two regions: controllers and poolers north and south, a link between that may be cut."""
 
     def __init__(self, seed, poolers=4, clients=8, loss=0.02, databases=("books",)):
         self.random = random.Random(seed)
@@ -287,7 +287,7 @@
         return f"{self.ids:016x}"
 
     def to_store(self, pooler, key, name, data):
-        """Bytes for a backend: they arrive, and their answer may be lost with the wire."""
+        """Bytes for a backend: they arrive, and their answer may be lost with the connection."""
         for line in data.decode().split("\r\n")[:-1]:
             self.post.append(("in", pooler, key, name, line, self.cluster.now + WAY_S))
 
@@ -296,7 +296,7 @@
             store.open.pop((pooler.incarnation, key), None)
 
     def mail(self, ip, node, message):
-        """A registrar's message for a counter."""
+        """A controller's message for a pooler."""
         pooler = next((pooler for pooler in self.poolers if pooler.node == node), None)
         if (
             pooler is None
@@ -310,7 +310,7 @@
             pooler.core.delivery.note(message.database, message.number)
 
     def carry_letters(self, now):
-        """What counters tell registrars; some of it is lost."""
+        """What poolers tell controllers; some of it is lost."""
         due = [letter for letter in self.letters if letter[0] <= now]
         self.letters = [letter for letter in self.letters if letter[0] > now]
         for _at, pooler, ip, message in due:
