--- a/tests/trial.py
+++ b/tests/trial.py
@@ -5,7 +5,7 @@
 import subprocess
 import sys
 import time
-from collections import Pooler
+from collections import Counter
 
 import curio
 
@@ -14,7 +14,7 @@
 
 from .standins import CONFIGURATION, CTL, FE, ROOT, ZONES, Service, start
 
-SENT: Pooler = Pooler()  # statements by what became of them
+SENT: Counter = Counter()  # statements by what became of them
 
 
 async def talk(number: int, database: str, *texts: str) -> list[str]:
@@ -68,7 +68,7 @@
             [sys.executable, "-m", "sumacloom", "fleet", *arguments],
             cwd=ROOT,
             timeout=60,
-            env={**os.environ, "SUMACLOOM_REGISTRARS": f"127.0.0.1:{CTL},127.0.0.2:{CTL}"},
+            env={**os.environ, "SUMACLOOM_CONTROLLERS": f"127.0.0.1:{CTL},127.0.0.2:{CTL}"},
         )
     )
     return process.returncode
@@ -82,7 +82,7 @@
             cwd=ROOT,
             capture_output=True,
             timeout=60,
-            env={**os.environ, "SUMACLOOM_REGISTRARS": f"127.0.0.1:{CTL},127.0.0.2:{CTL}"},
+            env={**os.environ, "SUMACLOOM_CONTROLLERS": f"127.0.0.1:{CTL},127.0.0.2:{CTL}"},
         )
     )
     return json.loads(process.stdout)
@@ -138,35 +138,35 @@
 
 async def try_pooling():
     """Pins a database's mode, and looks whether all nodes hold it; wrong orders end badly and change nothing."""
-    if await fleet("pooling", "set", "search", "statement"):
+    if await fleet("pool-modes", "set", "search", "statement"):
         raise SystemExit("trial: the mode was not pinned")
 
     async def agreed():
-        return await fleet("pooling", "show", "--nodes") == 0
+        return await fleet("pool-modes", "show", "--nodes") == 0
 
     await until("all nodes hold the pinned mode", agreed)
     await talk(1, "search", "FETCH a", "BEGIN", "FETCH a", "COMMIT")
-    rows = await shown("pooling", "show")
+    rows = await shown("pool-modes", "show")
     if [(row["database"], row["mode"], row["judged"]) for row in rows] != [
         ("search", "statement", False)
     ]:
         raise SystemExit(f"trial: the modes are {rows}")
     wrong = [
-        await fleet("pooling", "set", "search", "session"),
-        await fleet("pooling", "set", "nowhere", "auto"),
-        await fleet("pooling", "set", "search", "auto", "--base", "0"),
+        await fleet("pool-modes", "set", "search", "session"),
+        await fleet("pool-modes", "set", "nowhere", "auto"),
+        await fleet("pool-modes", "set", "search", "auto", "--base", "0"),
     ]
     if (
         0 in wrong
-        or await fleet("pooling", "show", "--sessions")
-        or await fleet("pooling", "set", "search", "auto")
+        or await fleet("pool-modes", "show", "--sessions")
+        or await fleet("pool-modes", "set", "search", "auto")
     ):
         raise SystemExit(f"trial: pooling commands ended with {wrong}")
 
 
 async def trial(service: Service, processes: dict, folder: str):
     """A short day."""
-    path = os.path.join(folder, "blueprint.json")
+    path = os.path.join(folder, "configuration.json")
     with open(path, "w", encoding="utf-8") as file:
         json.dump(CONFIGURATION, file)
 
@@ -176,25 +176,29 @@
         )
 
     async def put():
-        return await fleet("blueprint", "put", path) == 0
+        return await fleet("config", "put", path) == 0
 
-    await until("the blueprint is taken", put)
+    await until("the configuration is taken", put)
     await until("writes are served", served)
     await show(1, "books", "BEGIN", "PUT a three", "FETCH a", "COMMIT")
     await show(3, "search", "FETCH a")
     for command in (
         ["status"],
         ["backends"],
-        ["members"],
-        ["rotation"],
-        ["duties"],
+        ["poolers"],
+        ["replicas"],
+        ["lease"],
         ["query", "SELECT zone, count(*) AS backends FROM backends GROUP BY zone"],
     ):
         print(f"$ sumacloom fleet {' '.join(command)}", flush=True)
         if await fleet(*command):
             raise SystemExit("trial: a command failed")
-    if await fleet("lane", "set", "books") or await fleet("lanes") or await fleet("lane", "clear"):
-        raise SystemExit("trial: the lane did not come into force")
+    if (
+        await fleet("priority", "set", "books")
+        or await fleet("priority", "show")
+        or await fleet("priority", "clear")
+    ):
+        raise SystemExit("trial: the priority did not come into force")
     await try_access(folder)
     await try_pooling()
     wrong_way = {
@@ -205,15 +209,15 @@
     }
     with open(path, "w", encoding="utf-8") as file:
         json.dump(wrong_way, file)
-    if await fleet("blueprint", "put", path) or "BUSY" not in str(
+    if await fleet("config", "put", path) or "BUSY" not in str(
         await talk(1, "books", "PUT a lost")
     ):
         raise SystemExit("trial: the edit did not misdirect writes")
-    if await fleet("undo", "--generation", "5") or await fleet("generations") or not await served():
+    if await fleet("undo", "--version", "5") or await fleet("versions") or not await served():
         raise SystemExit("trial: the edit was not undone")
     items = os.path.join(folder, "items")
     listening = await curio.spawn(
-        fleet, "listen", "desk", "books", "--into", items, "--count", "2", "--seconds", "30"
+        fleet, "subscribe", "desk", "books", "--into", items, "--count", "2", "--seconds", "30"
     )
 
     async def listens():
@@ -226,7 +230,7 @@
                             "-m",
                             "sumacloom",
                             "fleet",
-                            "listeners",
+                            "subscribers",
                             "--at",
                             f"127.0.0.2:{CTL}",
                         ],
@@ -240,7 +244,7 @@
 
     await until("the desk listens", listens)
     await talk(3, "books", "PUT a seven", "BEGIN", "PUT a eight", "PUT b nine", "COMMIT")
-    if await listening.join() or await fleet("listeners", "--nodes"):
+    if await listening.join() or await fleet("subscribers", "--nodes"):
         raise SystemExit("trial: the listener did not get its items, or the lists differ")
     with open(items, encoding="utf-8") as file:
         taken = [json.loads(line)["text"] for line in file]
@@ -251,11 +255,11 @@
     await show(2, "books", "FETCH a", "PUT a after", "FETCH a")
     processes["controller-1"].kill()
     processes["controller-1"].wait()
-    await fleet("evacuate", "zone-b")
+    await fleet("drain", "zone-b")
     await fleet("status")
-    await fleet("restore", "zone-b")
+    await fleet("undrain", "zone-b")
     wrong = (
-        await fleet("evacuate", "zone-x"),
+        await fleet("drain", "zone-x"),
         await fleet("query", "DROP TABLE members"),
         await fleet("log-level", "loud"),
     )
@@ -272,7 +276,7 @@
                     "sumacloom",
                     "fleet",
                     "query",
-                    "SELECT count(*) AS n FROM controllers WHERE votes",
+                    "SELECT count(*) AS n FROM registrars WHERE votes",
                     "--json",
                     "--at",
                     f"127.0.0.2:{CTL}",
