--- a/sumacloom/pooler/completion.py
+++ b/sumacloom/pooler/completion.py
@@ -1,6 +1,7 @@
 """The moves that results and losses share: freeing a connection, finishing a statement, failing a transaction."""
 
 from sumacloom.pooler import delivery
+from sumacloom.pooler.effects import Close, Send
 
 
 def release(core, connection, now: float, values_changed: bool = False) -> None:
@@ -20,7 +21,7 @@
     ):
         return
     if connection.state != "I":
-        core.effects.append(("send", connection.key, connection.ask("clean", "-", "ABORT", now)))
+        core.effects.append(Send(connection.key, connection.ask("clean", "-", "ABORT", now)))
         return
     backend = core.pools.backends.get(connection.backend)
     if backend is None:
@@ -37,7 +38,7 @@
     connection.lost = True
     if core.connections.pop(connection.key, None) is None:
         return
-    core.effects.append(("shut", connection.key))
+    core.effects.append(Close(connection.key))
     backend = core.pools.backends.get(connection.backend)
     if backend and backend.connections.pop(connection.key, None):
         backend.dialing -= not connection.open
--- a/sumacloom/pooler/core.py
+++ b/sumacloom/pooler/core.py
@@ -1,7 +1,6 @@
 """The pooler's core: sessions in front, connections behind, queues between. No sockets here.
 
-Inputs are the methods; what is to be sent, shut or dialled gathers in `effects`:
-("send", key, bytes), ("shut", key), ("dial", key, host, port).
+Inputs are the methods; what is to be sent, closed or dialled gathers in `effects`.
 """
 
 import logging
@@ -12,6 +11,7 @@
 from sumacloom.pooler import completion, connection_loss, server_results
 from sumacloom.pooler.admission import LOGIN, AccessControl
 from sumacloom.pooler.delivery import DeliveryTracker, hold_for_intent, judge
+from sumacloom.pooler.effects import Close, Dial, Effect, Send
 from sumacloom.pooler.pending_statement import PendingStatement
 from sumacloom.pooler.pool_mode import PoolModes
 from sumacloom.pooler.routing import compile_rules
@@ -37,7 +37,8 @@
         self.active = set()
         self.rules, self.configuration = None, None
         self.leaving, self.leaving_at = SHUTDOWN.start, 0.0
-        self.effects, self.failed_backends = [], []
+        self.effects: list[Effect] = []
+        self.failed_backends: list[str] = []
         self.warmed_at, self.ticked_at, self.stalled = -1e9, None, False
         self.priority_databases, self.unsure, self.isolated = set(), False, False
         self.access_control, self.pool_modes = AccessControl(), PoolModes(settings.pooling)
@@ -119,7 +120,7 @@
         """Bytes of a client.
 
         >>> core = PoolerCore(Settings("n", "r", "10.0.0.1", "z")); core.session_opened(1, 0.0)
-        >>> core.session_data(1, b"HELO\\r\\n", 0.0); core.effects[0][2]
+        >>> core.session_data(1, b"HELO\\r\\n", 0.0); core.effects[0].data
         b'ERR MALFORMED a session starts with LOGIN\\r\\n'
         """
         session = self.sessions.get(key)
@@ -170,7 +171,7 @@
         """A line after the login.
 
         >>> core = PoolerCore(Settings("n", "r", "10.0.0.1", "z")); session = Session(1, 0.0)
-        >>> core.take_line(session, "NONSENSE", 0.0); core.effects[0][2]
+        >>> core.take_line(session, "NONSENSE", 0.0); core.effects[0].data
         b'ERR MALFORMED this line is not understood\\r\\nREADY I -\\r\\n'
         """
         head, _blank, rest = line.partition(" ")
@@ -193,7 +194,7 @@
 
         >>> PoolerCore(Settings("n", "r", "10.0.0.1", "z")).shut_session(Session(1, 0.0), 0.0)
         """
-        self.effects.append(("shut", session.key))
+        self.effects.append(Close(session.key))
         self.session_closed(session.key, now, session)
 
     def session_closed(self, key, now: float, session: Session | None = None) -> None:
@@ -224,16 +225,16 @@
         """Lines to a client.
 
         >>> core = PoolerCore(Settings("n", "r", "10.0.0.1", "z")); core.send(Session(1, 0.0), "READY I -"); core.effects
-        [('send', 1, b'READY I -\\r\\n')]
+        [Send(key=1, data=b'READY I -\\r\\n')]
         """
         if not session.closed:
-            self.effects.append(("send", session.key, encode(*lines)))
+            self.effects.append(Send(session.key, encode(*lines)))
 
     def reply(self, session: Session, lines: list[str], now: float, position=None) -> None:
         """A whole reply with its READY; the next waiting line then follows.
 
         >>> core = PoolerCore(Settings("n", "r", "10.0.0.1", "z")); core.reply(Session(1, 0.0), ["DONE -"], 0.0)
-        >>> core.effects[0][2]
+        >>> core.effects[0].data
         b'DONE -\\r\\nREADY I -\\r\\n'
         """
         self.send(session, *lines, f"READY {session.state} {position or '-'}")
@@ -354,7 +355,7 @@
         connection = self.pools.new_connection(backend, now)
         if connection:
             self.connections[connection.key] = connection
-            self.effects.append(("dial", connection.key, backend.host, backend.port))
+            self.effects.append(Dial(connection.key, backend.host, backend.port))
         return connection is not None
 
     def start_on(self, pending: PendingStatement, connection, now: float) -> None:
@@ -385,7 +386,7 @@
         pending.stage = "setup"
         pending.sent_at = now
         data = b"".join(connection.ask(tag, "-", text, now) for tag, text in tagged)
-        self.effects.append(("send", connection.key, data))
+        self.effects.append(Send(connection.key, data))
 
     def run(self, pending: PendingStatement, now: float) -> None:
         """Sends the statement itself, and the end behind it where the plan has one."""
@@ -401,4 +402,4 @@
         data = connection.ask("run", statement.id, text, now)
         if pending.plan[-1] == "end":
             data += connection.ask("clean", "-", "ABORT", now)
-        self.effects.append(("send", connection.key, data))
+        self.effects.append(Send(connection.key, data))
--- a/sumacloom/pooler/delivery.py
+++ b/sumacloom/pooler/delivery.py
@@ -4,6 +4,7 @@
 What nobody subscribes to passes untouched. A pooler that can't be sure who subscribes treats all as subscribed to.
 """
 
+from sumacloom.pooler.effects import SendToController
 from sumacloom.transport.messages import DeliveryIntent, DeliveryOutcome
 
 HOLD_S = 0.6  # how long a write waits for its intent to be held
@@ -82,7 +83,9 @@
         pending.sent_at = now - HOLD_S  # nobody takes our outcomes: given up at the next tick
     delivery.waiting[(database, number)] = pending
     core.effects.append(
-        ("spool", DeliveryIntent(delivery.incarnation, number, database, text, delivery.node))
+        SendToController(
+            DeliveryIntent(delivery.incarnation, number, database, text, delivery.node)
+        )
     )
     return True
 
@@ -113,7 +116,7 @@
         kind = "done"
     verdict = DeliveryOutcome(delivery.incarnation, number, database, text, delivery.node, kind)
     delivery.unacknowledged[(database, number)] = verdict
-    core.effects.append(("spool", verdict))
+    core.effects.append(SendToController(verdict))
 
 
 def resend_outcomes(core, now: float) -> None:
@@ -122,5 +125,5 @@
     if delivery.unacknowledged and now - delivery.reported_at >= AGAIN_S:
         delivery.reported_at = now
         core.effects.extend(
-            ("spool", verdict) for verdict in list(delivery.unacknowledged.values())[:500]
+            SendToController(verdict) for verdict in list(delivery.unacknowledged.values())[:500]
         )
--- a/sumacloom/pooler/process.py
+++ b/sumacloom/pooler/process.py
@@ -19,6 +19,7 @@
 )
 from sumacloom.pooler.controller_session import ControllerSession
 from sumacloom.pooler.core import PoolerCore
+from sumacloom.pooler.effects import Close, Dial, Effect, Exit, Send, SendToController
 from sumacloom.pooler.status_report import report_of
 from sumacloom.settings import POOLER, FileWatch, Settings, read_settings, split_address
 from sumacloom.signals import Signals
@@ -91,17 +92,21 @@
         """Does what the core asked for."""
         while self.core.effects:
             effects, self.core.effects = self.core.effects, []
-            for kind, *rest in effects:
-                if kind == "send":
-                    self.send(*rest)
-                elif kind == "shut":
-                    self.shut(*rest)
-                elif kind == "spool":
-                    self.controller_session.say(*rest)
-                elif kind == "dial":
-                    await curio.spawn(self.run_server_connection, *rest, daemon=True)
-                elif kind == "exit":
-                    self.over = True
+            for effect in effects:
+                await self.run_effect(effect)
+
+    async def run_effect(self, effect: Effect) -> None:
+        """Does one thing that the core asked for."""
+        if isinstance(effect, Send):
+            self.send(effect.key, effect.data)
+        elif isinstance(effect, Close):
+            self.shut(effect.key)
+        elif isinstance(effect, SendToController):
+            self.controller_session.say(effect.message)
+        elif isinstance(effect, Dial):
+            await curio.spawn(self.run_server_connection, *effect, daemon=True)
+        elif isinstance(effect, Exit):
+            self.over = True
 
     def send(self, key, data: bytes) -> None:
         """Bytes for a session or a connection."""
--- a/sumacloom/pooler/server_pools.py
+++ b/sumacloom/pooler/server_pools.py
@@ -3,6 +3,7 @@
 import logging
 import zlib
 
+from sumacloom.pooler.connection_limits import BACKOFF_S, ConnectionLimits
 from sumacloom.pooler.server_connection import ServerConnection
 from sumacloom.pooler.service_pool import Backend, ServicePool
 from sumacloom.settings import Settings, is_address, split_address
@@ -10,52 +11,24 @@
 from sumacloom.types import Position
 
 logger = logging.getLogger(__name__)
-BACKOFF_S, MOST_BACKOFF_S = 0.15, 1.2
+MAX_BACKOFF_S = 1.2
 REFUSED_S = 0.25
-SHARE_OF_MAXCONN = 0.7
-MAX_CONNECTIONS = 32
-UNCONTENDED_CONNECTIONS = 4  # more than a fair share, as long as the backend does not mind
-CROWD_S = 5.0
 SHARE_OF_BOUND = 0.6
-UNKNOWN_MEMBERS = 8
-MEMBERS_S = 10.0
-PACKED_S = 5.0  # so long after a statement in statement mode a connection is kept for the next
 
 
-class ServerPools:
+class ServerPools(ConnectionLimits):
     """All services and backends, as one pooler sees them."""
 
     def __init__(self, settings: Settings):
+        super().__init__()
         self.settings = settings
-        self.service_pools = {}
-        self.backends = {}
-        self.draining_zones = {}
-        self.services = {}
-        self.members, self.members_counted = (
-            UNKNOWN_MEMBERS,
-            True,
-        )  # settled: the members have had the time to be counted
-        self.members_seen = []
+        self.service_pools: dict[str, ServicePool] = {}
+        self.backends: dict[str, Backend] = {}
+        self.draining_zones: dict[str, float] = {}  # since when
         self.next_key = 1
 
-    def count_members(self, members: int, now: float) -> None:
-        """Takes the member count; the most of the last seconds counts, since connections outlive their ends.
-
-        >>> pools = ServerPools(Settings("n", "r", "10.0.0.1", "z")); pools.count_members(3, 0.0); pools.count_members(2, 1.0)
-        >>> pools.members
-        3
-        """
-        self.members_seen = [
-            (seen, count) for seen, count in self.members_seen if now - seen < MEMBERS_S
-        ]
-        if not self.members_seen or self.members_seen[-1][1] != members:
-            self.members_seen.append((now, members))
-        else:
-            self.members_seen[-1] = (now, members)
-        self.members = max(count for _seen, count in self.members_seen)
-
     def service_pool(self, service: str) -> ServicePool:
-        """The service's ground, made when first asked for.
+        """The service's pool, made when first asked for.
 
         >>> ServerPools(Settings("n", "r", "10.0.0.1", "z")).service_pool("svc").name
         'svc'
@@ -246,67 +219,6 @@
         ranked = sorted(ranked)
         return [entry[-1] for entry in ranked]
 
-    def fair_share(self, backend: Backend) -> float:
-        """This pooler's fair share of the backend's connections; below 1 in a fleet larger than those.
-
-        >>> pools = ServerPools(Settings("n", "r", "10.0.0.1", "z")); pools.members = 2; round(pools.fair_share(Backend("i-1", "svc")), 1)
-        11.2
-        """
-        service = self.services.get(backend.service)
-        return (service.maxconn if service else 32) * SHARE_OF_MAXCONN / max(1, self.members)
-
-    def connection_limit(self, backend: Backend, now: float) -> int:
-        """How many connections this pooler may hold to the backend: its fair share, or a few more until told that the backend has too many.
-
-        Until the members are counted it is a few: a fleet that starts at once would else take all of `maxconn` by
-        whoever comes first.
-
-        >>> pools = ServerPools(Settings("n", "r", "10.0.0.1", "z")); pools.members = 1; pools.connection_limit(Backend("i-1", "svc"), 0.0)
-        22
-        """
-        fair = max(
-            1,
-            min(
-                MAX_CONNECTIONS if self.members_counted else UNCONTENDED_CONNECTIONS,
-                int(self.fair_share(backend)),
-            ),
-        )
-        return fair if now < backend.connection_limit_until else max(fair, UNCONTENDED_CONNECTIONS)
-
-    def record_connection_limit(self, backend: Backend, now: float) -> None:
-        """The backend has more connections than it takes: everyone keeps to the fair share for a while.
-
-        >>> backend = Backend("i-1", "s"); ServerPools(Settings("n", "r", "10.0.0.1", "z")).record_connection_limit(backend, 1.0)
-        >>> backend.connection_limit_until
-        6.0
-        """
-        backend.connection_limit_until = now + CROWD_S
-        backend.backoff_until = max(backend.backoff_until, now + BACKOFF_S)
-
-    def is_last_connection(self, backend: Backend, now: float) -> bool:
-        """Whether the one idle connection is all that is left under the cap: it is kept for the priority databases.
-
-        >>> ServerPools(Settings("n", "r", "10.0.0.1", "z")).is_last_connection(Backend("i-1", "svc"), 0.0)
-        False
-        """
-        return len(backend.idle) == 1 and 1 < self.connection_limit(backend, now) <= len(
-            backend.connections
-        )
-
-    def is_reserved(self, backend: Backend, pending, priority_databases: bool, now: float) -> bool:
-        """Whether the last connection is not for this one: it is kept for the priority databases, or for sessions that share connections
-        by the statement, which transactions with their pauses would else starve.
-        """
-        if pending.shares_connection:
-            backend.statement_mode_at = now
-        lacks_priority = priority_databases and not pending.prioritized
-        packs = (
-            not pending.shares_connection
-            and pending.transaction is not None
-            and now - backend.statement_mode_at < PACKED_S
-        )
-        return (lacks_priority or packs) and self.is_last_connection(backend, now)
-
     def take_connection(self, backend: Backend, values: dict, prepared) -> ServerConnection | None:
         """An idle connection, one that fits the session before one that needs a RESET.
 
@@ -427,7 +339,7 @@
         """
         if now < backend.backoff_until:
             return
-        backend.backoff = min(MOST_BACKOFF_S, backend.backoff * 2 or BACKOFF_S)
+        backend.backoff = min(MAX_BACKOFF_S, backend.backoff * 2 or BACKOFF_S)
         backend.backoff_until = now + backend.backoff
         if backend.unreachable_since is None:
             backend.unreachable_since = now
--- a/sumacloom/pooler/server_results.py
+++ b/sumacloom/pooler/server_results.py
@@ -9,6 +9,7 @@
 from sumacloom.pooler.completion import drop, fail_transaction, finish, release, settle
 from sumacloom.pooler.connection_loss import MOST_READ_SENDS, connection_lost
 from sumacloom.pooler.delivery import item_text, judge
+from sumacloom.pooler.effects import Send
 from sumacloom.pooler.pending_statement import PendingStatement
 from sumacloom.types import LOG_START
 
@@ -310,4 +311,4 @@
         data = connection.ask("anchor", "-", "BEGIN", now) + connection.ask(
             "clean", "-", "ABORT", now
         )
-        core.effects.append(("send", connection.key, data))
+        core.effects.append(Send(connection.key, data))
--- a/sumacloom/pooler/timers.py
+++ b/sumacloom/pooler/timers.py
@@ -4,6 +4,7 @@
 
 from sumacloom.pooler import completion, connection_loss, delivery, delivery_timers  # noqa: F401  (delivery_timers serves a stage)
 from sumacloom.pooler.core import SHUTDOWN, PoolerCore
+from sumacloom.pooler.effects import Exit, Send
 from sumacloom.pooler.stage_timers import AT, stage
 
 logger = logging.getLogger(__name__)
@@ -190,7 +191,7 @@
         ]
         for backend in due:
             connection = backend.idle.pop()
-            core.effects.append(("send", connection.key, connection.ask("stat", "-", "STAT", now)))
+            core.effects.append(Send(connection.key, connection.ask("stat", "-", "STAT", now)))
 
 
 def sigterm(core, now: float) -> None:
@@ -237,4 +238,4 @@
             for pending in list(core.active):
                 connection_loss.abandon_statement(core, pending, now)
         elif action == "exit":
-            core.effects.append(("exit",))
+            core.effects.append(Exit())
--- a/tests/calls_world.py
+++ b/tests/calls_world.py
@@ -3,6 +3,7 @@
 from collections import Counter, deque
 
 from sumacloom.pooler import connection_loss, server_results
+from sumacloom.pooler.effects import Close, Dial, Send
 
 from .stage import Stage
 
@@ -59,21 +60,21 @@
     def act(self):
         while self.core.effects:
             effects, self.core.effects = self.core.effects, []
-            for kind, *rest in effects:
-                key = rest.pop(0) if rest else None
-                if kind == "dial":
+            for effect in effects:
+                key = getattr(effect, "key", None)
+                if isinstance(effect, Dial):
                     self.dialled.append(key)
                     connection = self.core.connections[key]
                     self.conns[key] = Conn(key, self.hosts[connection.backend])
                     self.conns[key].inbox.append(connection.login("edge-1").decode().strip())
-                elif kind == "send" and key in self.conns:
+                elif isinstance(effect, Send) and key in self.conns:
                     assert not self.conns[key].closed, "bytes on a wire that was shut"
-                    self.conns[key].inbox.extend(rest[0].decode().split("\r\n")[:-1])
-                elif kind == "send" and key in self.clients:
-                    self.clients[key].receive(rest[0].decode().split("\r\n")[:-1])
-                elif kind == "shut" and key in self.conns:
+                    self.conns[key].inbox.extend(effect.data.decode().split("\r\n")[:-1])
+                elif isinstance(effect, Send) and key in self.clients:
+                    self.clients[key].receive(effect.data.decode().split("\r\n")[:-1])
+                elif isinstance(effect, Close) and key in self.conns:
                     self.conns[key].closed = True
-                elif kind == "shut":
+                elif isinstance(effect, Close):
                     self.clients.pop(key, None)
 
     # -------------------------------------------------------- backends
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -5,6 +5,7 @@
 from sumacloom.configuration.model import decode_configuration
 from sumacloom.pooler import connection_loss, server_results, timers
 from sumacloom.pooler.core import PoolerCore
+from sumacloom.pooler.effects import Close, Dial, Send
 from sumacloom.settings import Settings
 from sumacloom.transport.updates import BackendRecord
 
@@ -86,16 +87,16 @@
 
     def act(self):
         effects, self.core.effects = self.core.effects, []
-        for kind, *rest in effects:
-            key = rest.pop(0) if rest else None
-            if kind == "send":
-                self.sent.setdefault(key, []).extend(rest[0].decode("latin-1").split("\r\n")[:-1])
-            elif kind == "shut":
-                self.shut.append(key)
-            elif kind == "dial":
-                self.dialled.append(key)
-                connection = self.core.connections[key]
-                self.sent.setdefault(key, []).append(connection.login("edge-1").decode().strip())
+        for effect in effects:
+            if isinstance(effect, Send):
+                lines = effect.data.decode("latin-1").split("\r\n")[:-1]
+                self.sent.setdefault(effect.key, []).extend(lines)
+            elif isinstance(effect, Close):
+                self.shut.append(effect.key)
+            elif isinstance(effect, Dial):
+                self.dialled.append(effect.key)
+                login = self.core.connections[effect.key].login("edge-1").decode().strip()
+                self.sent.setdefault(effect.key, []).append(login)
 
     def tick(self, seconds=0.05):
         """Lets time pass, with nothing to be read in it; after a stall the pooler looks twice."""
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -17,6 +17,7 @@
 from sumacloom.controller.registers.configuration import put_configuration
 from sumacloom.http import Request
 from sumacloom.pooler import admission
+from sumacloom.pooler.effects import Send
 from sumacloom.transport.updates import AccessUpdate
 
 from .changes import apply_change, error_name, reply_of
@@ -292,7 +293,9 @@
             before = len(self.pooler.core.effects)
             super().say(now, line)
             said = [
-                effect[2] for effect in core.effects[before:] if effect[:2] == ("send", self.key)
+                effect.data
+                for effect in core.effects[before:]
+                if isinstance(effect, Send) and effect.key == self.key
             ]
             if any(text.startswith(b"ERR DENIED") for text in said) == allowed:
                 self.wrong.append((line, rule, allowed, said))
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -5,6 +5,7 @@
 
 from sumacloom.pooler import completion, delivery
 from sumacloom.pooler.controller_session import QUIET_S, ControllerSession
+from sumacloom.pooler.effects import SendToController
 from sumacloom.pooler.server_connection import ServerConnection
 from sumacloom.pooler.server_pools import ServerPools
 from sumacloom.settings import Settings
@@ -318,8 +319,12 @@
     stage.core.delivery.listen(["books"], False)
     stage.client(1, "books")
     stage.core.session_data(1, b"QUERY 5 PUT a b\r\n", stage.now)
-    intent = next(effect[1] for effect in stage.core.effects if effect[0] == "spool")
-    stage.core.effects = [effect for effect in stage.core.effects if effect[0] != "spool"]
+    intent = next(
+        effect.message for effect in stage.core.effects if isinstance(effect, SendToController)
+    )
+    stage.core.effects = [
+        effect for effect in stage.core.effects if not isinstance(effect, SendToController)
+    ]
     stage.act()
     delivery.handle_intent_stored(
         stage.core, IntentStored(intent.incarnation + 1, intent.number, "books"), stage.now
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -24,6 +24,19 @@
 ]
 
 
+IMPORTABLE = [
+    ".".join(path.with_suffix("").parts)
+    for path in FILES
+    if path.name not in ("__main__.py", "__init__.py")
+]
+
+
+@pytest.mark.parametrize("name", IMPORTABLE)
+def test_the_module_can_be_imported(name):
+    """Also one that no other test uses, as the trial with real programs."""
+    importlib.import_module(name)
+
+
 @pytest.mark.parametrize("name", MODULES)
 def test_the_examples_of(name):
     result = doctest.testmod(importlib.import_module(name))
--- a/tests/test_listeners.py
+++ b/tests/test_listeners.py
@@ -11,6 +11,7 @@
 from sumacloom.controller.registers.configuration import put_configuration
 from sumacloom.http import Request
 from sumacloom.pooler import connection_loss, delivery, server_results, timers
+from sumacloom.pooler.effects import SendToController
 from sumacloom.transport.messages import DeliveryIntent, DeliveryOutcome, IntentStored
 from sumacloom.transport.update_cache import subscribers_checksum
 
@@ -140,8 +141,12 @@
 
 def spooled(stage):
     """What goes to the controller; the rest of the effects is done."""
-    found = [entry[1] for entry in stage.core.effects if entry[0] == "spool"]
-    stage.core.effects = [entry for entry in stage.core.effects if entry[0] != "spool"]
+    found = [
+        effect.message for effect in stage.core.effects if isinstance(effect, SendToController)
+    ]
+    stage.core.effects = [
+        effect for effect in stage.core.effects if not isinstance(effect, SendToController)
+    ]
     stage.act()
     return found
 
--- a/tests/town.py
+++ b/tests/town.py
@@ -8,6 +8,7 @@
 from sumacloom.controller.policy.access import StampQueue
 from sumacloom.pooler import admission, connection_loss, delivery, server_results, timers
 from sumacloom.pooler.core import PoolerCore
+from sumacloom.pooler.effects import Close, Dial, Send, SendToController
 from sumacloom.settings import Settings
 from sumacloom.transport.messages import DeliveryIntent, IntentStored
 from sumacloom.transport.update_cache import UpdateCache
@@ -138,25 +139,27 @@
     def act(self, now):
         fleet = self.fleet
         effects, self.core.effects = self.core.effects, []
-        for kind, *rest in effects:
-            if kind == "dial":
-                connection = self.core.connections[rest[0]]
+        for effect in effects:
+            if isinstance(effect, Dial):
+                connection = self.core.connections[effect.key]
                 fleet.to_store(
                     self, connection.key, connection.backend, connection.login(self.node)
                 )
-            elif kind == "send" and rest[0] in self.core.connections:
-                fleet.to_store(self, rest[0], self.core.connections[rest[0]].backend, rest[1])
-            elif kind == "send":
-                self.replies.setdefault(rest[0], []).extend(rest[1].decode().split("\r\n")[:-1])
-            elif kind == "shut":
-                fleet.shut(self, rest[0])
+            elif isinstance(effect, Send) and effect.key in self.core.connections:
+                backend = self.core.connections[effect.key].backend
+                fleet.to_store(self, effect.key, backend, effect.data)
+            elif isinstance(effect, Send):
+                lines = effect.data.decode().split("\r\n")[:-1]
+                self.replies.setdefault(effect.key, []).extend(lines)
+            elif isinstance(effect, Close):
+                fleet.shut(self, effect.key)
             elif (
-                kind == "spool"
+                isinstance(effect, SendToController)
                 and self.session
                 and not fleet.parted(self.region, fleet.region_of(self.session))
             ):
                 fleet.letters.append(
-                    (now + fleet.random.uniform(0.001, 0.03), self, self.session, rest[0])
+                    (now + fleet.random.uniform(0.001, 0.03), self, self.session, effect.message)
                 )
 
 
