--- a/sumacloom/pooler/completion.py
+++ b/sumacloom/pooler/completion.py
@@ -2,6 +2,7 @@
 
 from sumacloom.pooler import delivery
 from sumacloom.pooler.effects import Close, Send
+from sumacloom.pooler.pending_statement import StatementStage
 
 
 def release(core, connection, now: float, values_changed: bool = False) -> None:
@@ -97,7 +98,7 @@
     waiting = [pending for queue in core.queues.values() for pending in queue]
     for pending in waiting:
         rule = core.rules.get(pending.session.database)
-        if pending.transaction or pending.stage != "waiting" or rule == pending.rule:
+        if pending.transaction or pending.stage != StatementStage.WAITING or rule == pending.rule:
             continue
         core.queues[pending.rule.service].remove(pending)
         if rule is None:
@@ -117,7 +118,7 @@
     if session is None:
         return
     session.ending = True
-    if session.pending and session.pending.stage == "waiting":
+    if session.pending and session.pending.stage == StatementStage.WAITING:
         refuse(core, session.pending, now)
     if session.pending is None:
         core.shut_session(session, now)
--- a/sumacloom/pooler/connection_loss.py
+++ b/sumacloom/pooler/connection_loss.py
@@ -1,7 +1,7 @@
 """What follows when a connection is lost: resent where that is safe, else the truth about what may have run."""
 
 from sumacloom.pooler.completion import drop, fail_transaction, finish, refuse
-from sumacloom.pooler.pending_statement import PendingStatement
+from sumacloom.pooler.pending_statement import PendingStatement, StatementStage
 from sumacloom.pooler.session import Transaction
 
 MOST_READ_SENDS = 3
@@ -53,13 +53,20 @@
         core.complete(pending)
         return
     fresh = transaction is None or not transaction.statements_run
-    harmless = stage == "setup" or (pending.only_reads and pending.attempts < MOST_READ_SENDS)
-    if unclear and transaction and stage == "run" and pending.statement.kind != "commit":
+    harmless = stage == StatementStage.SETUP or (
+        pending.only_reads and pending.attempts < MOST_READ_SENDS
+    )
+    if (
+        unclear
+        and transaction
+        and stage == StatementStage.RUNNING
+        and pending.statement.kind != "commit"
+    ):
         transaction.unclear = True
         fail_transaction(core, pending, "UNKNOWN", now)
     elif fresh and harmless and now < pending.retry_until:
         core.enqueue(pending, now)
-    elif transaction and (pending.statement.kind != "commit" or stage != "run"):
+    elif transaction and (pending.statement.kind != "commit" or stage != StatementStage.RUNNING):
         fail_transaction(core, pending, "ROLLEDBACK", now)
     else:
         report_loss(core, pending, now)
@@ -67,7 +74,7 @@
 
 def report_loss(core, pending, now: float) -> None:
     """The final word on a statement outside a living transaction: a promise only if nothing ran."""
-    if pending.stage != "run":
+    if pending.stage != StatementStage.RUNNING:
         refuse(core, pending, now)
     elif pending.only_reads:
         finish(core, pending, ["ERR FAIL the backend was lost"], now)
@@ -78,7 +85,9 @@
 
 def abandon_statement(core, pending, now: float) -> None:
     """This process is about to end: nothing asked stays without a word."""
-    if pending.transaction and not (pending.statement.kind == "commit" and pending.stage == "run"):
+    if pending.transaction and not (
+        pending.statement.kind == "commit" and pending.stage == StatementStage.RUNNING
+    ):
         fail_transaction(core, pending, "ROLLEDBACK", now)
     else:
         report_loss(core, pending, now)
--- a/sumacloom/pooler/core.py
+++ b/sumacloom/pooler/core.py
@@ -12,7 +12,7 @@
 from sumacloom.pooler.admission import LOGIN, AccessControl
 from sumacloom.pooler.delivery import DeliveryTracker, hold_for_intent, judge
 from sumacloom.pooler.effects import Close, Dial, Effect, Send
-from sumacloom.pooler.pending_statement import PendingStatement
+from sumacloom.pooler.pending_statement import PendingStatement, StatementStage
 from sumacloom.pooler.pool_mode import PoolModes
 from sumacloom.pooler.routing import compile_rules
 from sumacloom.pooler.server_pools import ServerPools
@@ -208,15 +208,23 @@
         session.closed = True
         session.waiting.clear()
         pending, transaction = session.pending, session.transaction
-        if pending and pending.stage in ("waiting", "paused", "spooling"):
-            unsent = pending.connection if pending.stage == "spooling" and not transaction else None
+        if pending and pending.stage in (
+            StatementStage.WAITING,
+            StatementStage.PAUSED,
+            StatementStage.AWAITING_INTENT,
+        ):
+            unsent = (
+                pending.connection
+                if pending.stage == StatementStage.AWAITING_INTENT and not transaction
+                else None
+            )
             self.complete(pending)
             if unsent:
                 completion.release(self, unsent, now)
         if (
             transaction
             and transaction.connection
-            and not (pending and pending.stage in ("setup", "run"))
+            and not (pending and pending.stage in (StatementStage.SETUP, StatementStage.RUNNING))
         ):
             completion.release(self, transaction.connection, now)
         session.transaction = None
@@ -272,7 +280,7 @@
 
     def enqueue(self, pending: PendingStatement, now: float) -> None:
         """Puts a statement into its service's queue, and tries at once."""
-        pending.stage, pending.connection = "waiting", None
+        pending.stage, pending.connection = StatementStage.WAITING, None
         queue = self.queues.setdefault(pending.rule.service, [])
         insort(queue, pending, key=PendingStatement.order)
         self.dispatch(pending.rule.service, now)
@@ -280,7 +288,7 @@
     def complete(self, pending: PendingStatement) -> None:
         """The statement is over, whatever its end."""
         judge(self, pending)
-        pending.stage = "done"
+        pending.stage = StatementStage.DONE
         self.active.discard(pending)
         if pending.session.pending is pending:
             pending.session.pending = None
@@ -298,7 +306,7 @@
         kept = [
             pending
             for pending in waiting
-            if pending.stage == "waiting"
+            if pending.stage == StatementStage.WAITING
             and (now < pending.not_before or not self.place(pending, full, len(waiting), now))
         ]
         queue[:] = sorted(kept + queue, key=PendingStatement.order) if queue else kept
@@ -383,7 +391,7 @@
         if not tagged:
             self.run(pending, now)
             return
-        pending.stage = "setup"
+        pending.stage = StatementStage.SETUP
         pending.sent_at = now
         data = b"".join(connection.ask(tag, "-", text, now) for tag, text in tagged)
         self.effects.append(Send(connection.key, data))
@@ -395,7 +403,7 @@
         ):
             return
         connection, statement = pending.connection, pending.statement
-        pending.stage, pending.sent_at = "run", now
+        pending.stage, pending.sent_at = StatementStage.RUNNING, now
         text = server_text(statement, connection.names)
         if pending.plan == ("rotation", "run"):
             text = f"WAITPOS {pending.needed} {text}"
--- a/sumacloom/pooler/delivery.py
+++ b/sumacloom/pooler/delivery.py
@@ -5,6 +5,7 @@
 """
 
 from sumacloom.pooler.effects import SendToController
+from sumacloom.pooler.pending_statement import StatementStage
 from sumacloom.transport.messages import DeliveryIntent, DeliveryOutcome
 
 HOLD_S = 0.6  # how long a write waits for its intent to be held
@@ -78,7 +79,7 @@
         return False
     number = delivery.numbers[database] = delivery.numbers.get(database, 0) + 1
     pending.intent = (database, number, text)
-    pending.stage, pending.sent_at = "spooling", now
+    pending.stage, pending.sent_at = StatementStage.AWAITING_INTENT, now
     if len(delivery.unacknowledged) >= MAX_UNACKNOWLEDGED:
         pending.sent_at = now - HOLD_S  # nobody takes our outcomes: given up at the next tick
     delivery.waiting[(database, number)] = pending
@@ -97,7 +98,7 @@
     ):  # of an earlier life, whose numbers were the same
         return
     pending = core.delivery.waiting.pop((message.database, message.number), None)
-    if pending and pending.stage == "spooling":
+    if pending and pending.stage == StatementStage.AWAITING_INTENT:
         core.run(pending, now)
 
 
@@ -109,7 +110,7 @@
     delivery = core.delivery
     delivery.waiting.pop((database, number), None)
     if lines is None:
-        kind = "doubtful" if pending.stage == "run" else "not"
+        kind = "doubtful" if pending.stage == StatementStage.RUNNING else "not"
     elif lines[-1].startswith("ERR "):
         kind = "not" if lines[-1].split(" ")[1] in PROMISES else "doubtful"
     else:
--- a/sumacloom/pooler/pending_statement.py
+++ b/sumacloom/pooler/pending_statement.py
@@ -1,15 +1,23 @@
 """A client's statement on its way to a backend and back."""
 
+from enum import StrEnum
+
 from sumacloom.pooler.routing import FALLBACK, PLANS
 
 
-class PendingStatement:
-    """A statement that needs a backend, with its plan and how far it has come.
+class StatementStage(StrEnum):
+    """How far a statement has come."""
+
+    WAITING = "waiting"  # in a queue
+    SETUP = "setup"  # our own texts are out, nothing of the client's
+    AWAITING_INTENT = "awaiting_intent"  # not sent before a controller holds its intent
+    RUNNING = "running"  # it may have reached the backend
+    PAUSED = "paused"  # not run; it goes out again on the same connection
+    DONE = "done"
 
-    Stages: waiting (in a queue), setup (own texts are out, nothing of the client's), run
-    (the statement itself may have reached the backend), paused (not run, to go out again on the
-    same connection), done.
-    """
+
+class PendingStatement:
+    """A statement that needs a backend, with its plan and how far it has come."""
 
     __slots__ = (
         "attempts",
@@ -39,7 +47,7 @@
         self.received_at = now
         self.deadline = now + rule.statement_s
         self.retry_until = self.deadline
-        self.stage = "waiting"
+        self.stage = StatementStage.WAITING
         self.connection = None
         self.not_before = 0.0
         self.attempts = 0
--- a/sumacloom/pooler/server_results.py
+++ b/sumacloom/pooler/server_results.py
@@ -10,7 +10,7 @@
 from sumacloom.pooler.connection_loss import MOST_READ_SENDS, connection_lost
 from sumacloom.pooler.delivery import item_text, judge
 from sumacloom.pooler.effects import Send
-from sumacloom.pooler.pending_statement import PendingStatement
+from sumacloom.pooler.pending_statement import PendingStatement, StatementStage
 from sumacloom.types import LOG_START
 
 logger = logging.getLogger(__name__)
@@ -86,7 +86,7 @@
 def setup_result(core, connection, result, now: float) -> None:
     """One of the texts that prepare a connection was answered."""
     pending = connection.owner
-    if not isinstance(pending, PendingStatement) or pending.stage != "setup":
+    if not isinstance(pending, PendingStatement) or pending.stage != StatementStage.SETUP:
         connection.dirty = connection.dirty or bool(result.code)
         settle(core, connection, now)
         return
@@ -119,7 +119,7 @@
     led = not result.code and isinstance(pending, PendingStatement) and "open" in pending.plan
     if backend and led:
         core.pools.prove_primary(backend, result.asked_at, result.position, now)
-    if not isinstance(pending, PendingStatement) or pending.stage != "setup":
+    if not isinstance(pending, PendingStatement) or pending.stage != StatementStage.SETUP:
         settle(core, connection, now)
     elif result.code:
         setup_mishap(core, pending, result, now)
@@ -159,7 +159,7 @@
     if code in STRUGGLING and backend:
         backend.deprioritized_until = now + SHY_S[code]
     pending.last_error = code
-    pending.stage, pending.connection = "waiting", None
+    pending.stage, pending.connection = StatementStage.WAITING, None
     release(core, connection, now)
     if pending.session.closed:
         core.complete(pending)
@@ -185,7 +185,7 @@
     """The client's own statement was answered."""
     backend = observe(core, connection, result, now)
     pending = connection.owner
-    if not isinstance(pending, PendingStatement) or pending.stage != "run":
+    if not isinstance(pending, PendingStatement) or pending.stage != StatementStage.RUNNING:
         settle(core, connection, now)
         return
     # a COMMIT that wrote nothing succeeds even where the primary was lost: it proves nothing
@@ -239,7 +239,7 @@
         and now < pending.deadline
         and may_go_again(core, pending, code, now)
     ):
-        pending.stage, pending.not_before = "paused", now + BUSY_PAUSE_S
+        pending.stage, pending.not_before = StatementStage.PAUSED, now + BUSY_PAUSE_S
     elif (
         code in NOT_RUN
         and not transaction.statements_run
--- a/sumacloom/pooler/timers.py
+++ b/sumacloom/pooler/timers.py
@@ -1,31 +1,23 @@
-"""What a pooler does by the clock: cutoffs, sweeps, warm connections, leaving in order."""
+"""What a pooler does by the clock: sweeps, warm connections, graceful shutdown."""
 
 import logging
 
-from sumacloom.pooler import completion, connection_loss, delivery, delivery_timers  # noqa: F401  (delivery_timers serves a stage)
+from sumacloom.pooler import completion, connection_loss, delivery, statement_timers
 from sumacloom.pooler.core import SHUTDOWN, PoolerCore
 from sumacloom.pooler.effects import Exit, Send
-from sumacloom.pooler.stage_timers import AT, stage
 
 logger = logging.getLogger(__name__)
-SETUP_TIMEOUT_S = 0.25
 STILL_S = (
     0.25  # between two looks at the clock: this pooler was stalled, and reads before it judges
 )
 INTERNAL_TIMEOUT_S = 0.8
 UNREAD_S = 5.0  # where nothing was drawn from the replicas for so long, it is not swept
 DIAL_TIMEOUT_S = 0.8
-READ_AGAIN_S = 0.9
 UNLISTED_S = 2.3
 LOGIN_TIMEOUT_S = 5.0
 WARM_EVERY_S = 0.5
 SCARCE_S = 1.0
 SPARE_S = 2.0  # idle for so long, a connection above the cap is closed: others may have none
-HELD_SHARE = 0.45  # of its aim: how long a statement is held for a backend to come
-MOST_HELD = 0.9  # and of its time-out
-LONG_OUTAGE_S = 2.0  # without a primary for so long, hope is thin:
-HELD_LONG = 0.2  # it is held for this share of its aim only
-HELD_ALONE = 0.04  # and for this one by a pooler that hears no controller that is in a quorum
 
 
 def tick(core: PoolerCore, now: float) -> None:
@@ -34,8 +26,7 @@
     core.stalled = since is not None and now - since > STILL_S and not core.stalled
     if core.stalled:
         return  # answers may lie unread that came while nobody looked
-    for pending in [pending for pending in core.active if pending.stage in AT]:
-        AT[pending.stage](core, pending, now)
+    statement_timers.check_all(core, now)
     for service, queue in core.queues.items():
         if queue:
             core.dispatch(service, now)
@@ -50,71 +41,6 @@
         advance_shutdown(core, now)
 
 
-@stage("waiting")
-def check_waiting(core, pending, now: float) -> None:
-    """A statement that can't be started in time is given up at once, not at the end."""
-    service_pool = core.pools.service_pool(pending.rule.service)
-    without_primary = (
-        service_pool.without_primary_since is not None
-        and now - service_pool.without_primary_since >= LONG_OUTAGE_S
-    )
-    held = now - pending.received_at
-    lost = (
-        core.isolated and service_pool.without_primary_since is not None
-    )  # a new primary may stand where we can't hear of it
-    fair_share = HELD_ALONE if lost else HELD_LONG if without_primary else HELD_SHARE
-    hold = (
-        pending.rule.goal_s * fair_share
-        if now >= service_pool.pending_until
-        else pending.rule.statement_s
-    )
-    if held >= min(hold, pending.rule.statement_s * MOST_HELD):
-        session = pending.session
-        completion.refuse(core, pending, now)
-        if lost and session.state == "I" and session.pending is None:
-            core.shut_session(session, now)  # it meets another pooler, which may be better placed
-
-
-@stage("setup")
-def check_setup(core, pending, now: float) -> None:
-    """A connection that leaves our own texts unanswered is dark."""
-    bound = (
-        pending.transaction and pending.transaction.statements_run
-    )  # a silence here would end it, not send it elsewhere
-    if now >= pending.deadline or (not bound and now - pending.sent_at >= SETUP_TIMEOUT_S):
-        connection_loss.backend_silent(core, pending.connection, "its setup went unanswered", now)
-
-
-@stage("paused")
-def check_paused(core, pending, now: float) -> None:
-    """A statement that found its backend busy goes out again on the same connection."""
-    if now >= pending.deadline:
-        completion.fail_transaction(core, pending, "BUSY", now)
-    elif now >= pending.not_before:
-        core.run(pending, now)
-
-
-@stage("run")
-def check_running(core, pending, now: float) -> None:
-    """A statement past its time-out is told so; a slow single read tries elsewhere once."""
-    connection, session = pending.connection, pending.session
-    if now >= pending.deadline:
-        if pending.transaction:
-            pending.transaction.failed, pending.transaction.connection = "told", None
-            if pending.statement.kind == "commit":
-                session.transaction = None
-        completion.finish(core, pending, ["ERR TIMEDOUT the statement took too long"], now)
-        connection.owner = None
-        connection_loss.connection_lost(core, connection, "a statement took too long", now)
-    elif (
-        pending.only_reads
-        and pending.transaction is None
-        and pending.attempts < 2
-        and now - pending.sent_at >= READ_AGAIN_S
-    ):
-        connection_loss.connection_lost(core, connection, "a read took too long", now)
-
-
 def end_resting(core, now: float) -> None:
     """Ends transactions that rest too long, and connections that never log in."""
     rest_s = core.configuration.limits.tx_idle_ms / 1000 if core.configuration else 3.0
--- a/tests/test_pooling.py
+++ b/tests/test_pooling.py
@@ -16,6 +16,7 @@
 from sumacloom.errors import SettingsInvalidError
 from sumacloom.http import Request
 from sumacloom.pooler import connection_loss
+from sumacloom.pooler.pending_statement import StatementStage
 from sumacloom.pooler.pool_mode import PoolModes
 from sumacloom.pooler.session import Session
 from sumacloom.settings import PoolSettings, parse_settings
@@ -513,5 +514,8 @@
         stage.core.pools.primary_candidates = counted
         stage.answer(lead, "DONE 7.1", "READY I 1.11")
         looks[size] = count[0]
-        assert sum(pending.stage == "waiting" for pending in stage.core.active) == size - 2
+        assert (
+            sum(pending.stage == StatementStage.WAITING for pending in stage.core.active)
+            == size - 2
+        )
     assert 0 < looks[400] == looks[20]
