--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -8,7 +8,7 @@
 from sumacloom.controller.registry.members import SESSION_S
 
 from .changes import apply_change
-from .test_control import Fleet
+from .test_controller_core import Fleet
 
 
 def poolers(fleet, held, at="10.0.0.1"):
