--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -8,8 +8,8 @@
 import subprocess
 import sys
 
-from .conftest import ROOT
 from .libraries import install
+from .paths import ROOT
 
 SOURCES = ("sumacloom", "capacity", "tests")
 TOOLS = (
--- a/tests/libraries.py
+++ b/tests/libraries.py
@@ -10,7 +10,7 @@
 import subprocess
 import sys
 
-from .conftest import ROOT
+from .paths import ROOT
 
 REQUIREMENTS = {
     os.path.join(ROOT, "requirements.txt"): os.path.join(ROOT, "target", "deps"),
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -14,7 +14,7 @@
 import sys
 import tempfile
 
-from . import conftest, libraries
+from . import libraries
 
 if __name__ == "__main__":
     libraries.install()
@@ -25,7 +25,7 @@
 from sumacloom.line_protocol import LineSplitter, encode
 from sumacloom.transport.link import dial, listen
 
-ROOT = conftest.ROOT
+ROOT = libraries.ROOT
 ZONES = {"zone-a": "north", "zone-b": "middle", "zone-c": "south"}
 CTL, FE, READY, PLATFORM, BACKEND = 17100, 17101, 17102, 17103, 17104
 PORTS = (17110, 17125)
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from .conftest import ROOT
+from .paths import ROOT
 
 FILES = [
     path.relative_to(ROOT)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,7 +13,7 @@
 from sumacloom.cli.tables import query
 from sumacloom.errors import ERRORS_BY_NAME, InvalidQueryError
 
-from .conftest import ROOT
+from .paths import ROOT
 
 # as the first release numbered its results: (code, HTTP status, exit code) by name
 RESULTS = {
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from .conftest import ROOT
+from .paths import ROOT
 
 SUITE = "def test_red():\n    assert False\n\n\ndef test_green():\n    pass\n"
 LINE = "test_suite.py::test_red | a real fault | 13"
