--- a/tests/dutyland.py
+++ b/tests/lease_cluster.py
@@ -23,44 +23,13 @@
 from sumacloom.transport.messages import FrameDecoder, encode_frame
 from sumacloom.transport.updates import BackendRecord
 
+from .simulated_tasks import Task, Trap
 from .test_voters import ControllerCluster
 
 STEP_S = 0.02
 SERVICES = {"s": 0, "t": 1}  # service: syncAcks
 
 
-class Trap:
-    """What a coroutine waits for."""
-
-    def __init__(self, ready):
-        self.ready = ready
-
-    def __await__(self):
-        yield self
-
-
-class Task:
-    """A coroutine of one process."""
-
-    def __init__(self, coroutine):
-        self.coroutine, self.terminated, self.result, self.trap = coroutine, False, None, None
-
-    def run(self):
-        while not self.terminated and (self.trap is None or self.trap.ready()):
-            try:
-                self.trap = self.coroutine.send(None)
-            except StopIteration as end:
-                self.terminated, self.result = True, end.value
-
-    async def join(self):
-        await Trap(lambda: self.terminated)
-        return self.result
-
-    async def cancel(self):
-        self.terminated = True
-        self.coroutine.close()
-
-
 class SimulatedExecutor(CommandExecutor):
     """The real one, but for what leaves for backends."""
 
--- a/tests/test_access_fleet.py
+++ b/tests/test_access_fleet.py
@@ -17,8 +17,8 @@
 
 from .access_lists import AWAY, HOME, OPEN, body, offer
 from .changes import reply_of
+from .simulated_fleet import Client, SimulatedFleet, configuration
 from .test_fleet import Stub, refusal, reply
-from .town import Client, SimulatedFleet, configuration
 
 ADDRESSES = {"10.1.0.1": "north", "10.2.0.1": "south", "192.0.2.9": "unknown"}
 
@@ -70,7 +70,7 @@
 
 
 class AccessFleet(SimulatedFleet):
-    """A town of callers, which checks at each step that nobody serves by a list that is no longer in force."""
+    """A fleet of callers, which checks at each step that nobody serves by a list that is no longer in force."""
 
     def __init__(self, seed):
         super().__init__(seed, poolers=5, clients=0, databases=("books", "search"))
--- a/tests/test_calls_model.py
+++ b/tests/test_calls_model.py
@@ -13,7 +13,7 @@
 from sumacloom.configuration.model import decode_configuration
 from sumacloom.pooler import completion, timers
 
-from .calls_world import Client, World
+from .simulated_calls import Client, World
 from .stage import CONFIGURATION
 
 PLACES = st.integers(0, 30)
--- a/tests/test_duty_model.py
+++ b/tests/test_lease_model.py
@@ -1,4 +1,4 @@
-"""The failover lease as a model: any order of answers, losses, freezes, moves of the lease and restarts; what must hold stands in dutyland."""
+"""The failover lease as a model: any order of answers, losses, freezes, moves of the lease and restarts; what must hold stands in lease_cluster."""
 
 import random
 
@@ -17,7 +17,7 @@
 from sumacloom.controller.registers import FAILOVER_LEASE_KEY
 from sumacloom.controller.registers.lease import acquire_lease
 
-from .dutyland import SERVICES, LeaseCluster, staged
+from .lease_cluster import SERVICES, LeaseCluster, staged
 
 REGISTRARS = some.sampled_from(["10.0.0.1", "10.0.0.2", "10.0.0.3"])
 CALM_S = 25.0
--- a/tests/test_listeners.py
+++ b/tests/test_listeners.py
@@ -13,7 +13,7 @@
 from sumacloom.transport.update_cache import subscribers_checksum
 
 from .changes import apply_change, reply_of
-from .town import SimulatedFleet, configuration
+from .simulated_fleet import SimulatedFleet, configuration
 
 
 # ---------------------------------------------------------------- the register and the feed
@@ -129,7 +129,7 @@
 
 # ---------------------------------------------------------------- the whole fleet
 class Caller:
-    """What the calls of the admin API see of a controller in a town."""
+    """What the calls of the admin API see of a controller in a simulated fleet."""
 
     def __init__(self, fleet, ip):
         self.fleet, self.core = fleet, fleet.cluster.cores[ip]
@@ -192,7 +192,7 @@
 
 
 def opened(seed, **fields):
-    """A town whose first desk listens before the clients come."""
+    """A fleet of which the first controller has a subscriber before the clients come."""
     fleet = SimulatedFleet(seed, **fields)
     clients, fleet.clients = fleet.clients, []
     assert fleet.decide(
--- a/tests/test_pool_mode_register.py
+++ b/tests/test_pool_mode_register.py
@@ -18,8 +18,8 @@
 from sumacloom.transport.updates import PoolModeRow, PoolModeUpdate
 
 from .changes import apply_change, reply_of
+from .simulated_fleet import configuration
 from .test_fleet import Stub, refusal, reply
-from .town import configuration
 
 
 def apply_votes(votes):
--- a/tests/test_pooling.py
+++ b/tests/test_pooling.py
@@ -15,8 +15,8 @@
 from sumacloom.transport.update_cache import pool_modes_checksum
 from sumacloom.transport.updates import PoolModeRow
 
+from .simulated_fleet import Client, SimulatedFleet, configuration
 from .stage import Stage
-from .town import Client, SimulatedFleet, configuration
 
 NOW = 100.0
 
--- a/tests/test_undo.py
+++ b/tests/test_undo.py
@@ -19,9 +19,9 @@
 from sumacloom.transport.update_cache import UpdateCache, body_checksum
 
 from .changes import apply_change
+from .simulated_fleet import SimulatedFleet, configuration
 from .stage import CONFIGURATION, Stage
 from .test_fleet import Stub, reply
-from .town import SimulatedFleet, configuration
 
 
 def chain(*changes):
