--- a/capacity/hollow.py
+++ b/capacity/hollow.py
@@ -8,7 +8,9 @@
 import resource
 import sys
 import time
+from functools import partial
 
+from sumacloom.daemon import run_to_end
 from sumacloom.logs import configure_logging
 from sumacloom.pooler.controller_session import ControllerSession
 from sumacloom.pooler.server_pools import ServerPools
@@ -100,8 +102,6 @@
 
 
 if __name__ == "__main__":
-    import curio
-
     configure_logging("ERROR", "hollow")
     count_links()
-    curio.run(main, int(sys.argv[1]), int(sys.argv[2]), sys.argv[3].split(","))
+    run_to_end(partial(main, int(sys.argv[1]), int(sys.argv[2]), sys.argv[3].split(",")))
--- a/capacity/load.py
+++ b/capacity/load.py
@@ -8,9 +8,11 @@
 import tempfile
 import threading
 import time
+from functools import partial
 
 import curio
 
+from sumacloom.daemon import run_to_end
 from sumacloom.line_protocol import LineSplitter, encode
 from sumacloom.transport.link import dial, listen
 
@@ -189,7 +191,7 @@
                 20.0,
             )
             time.sleep(1.0)
-            return curio.run(measure, pooler.pid, sizes, seconds)
+            return run_to_end(partial(measure, pooler.pid, sizes, seconds))
         finally:
             over.set()
             beater.join(6.0)
--- a/sumacloom/daemon.py
+++ b/sumacloom/daemon.py
@@ -8,7 +8,7 @@
 import sys
 import time
 from collections.abc import Awaitable, Callable
-from typing import Any, Protocol
+from typing import Any, Protocol, TypeVar
 
 from sumacloom.errors import AddressUnusableError, DiskUnusableError, SumacloomError
 from sumacloom.logs import configure_logging
@@ -16,6 +16,8 @@
 
 logger = logging.getLogger(__name__)
 
+Result = TypeVar("Result")
+
 DISK_ATTEMPTS, DISK_RETRY_S = 40, 0.5
 TRANSIENT_DISK_ERRORS = (errno.EIO, errno.ENOSPC)
 
@@ -58,8 +60,8 @@
         ) from error
 
 
-def run_to_end(main: Callable[[], Awaitable[int]]) -> int:
-    """Runs a process's main under curio; its exit code stands, whatever the kernel's shutdown raises.
+def run_to_end(main: Callable[[], Awaitable[Result]]) -> Result:
+    """Runs a coroutine function under curio; its result stands, whatever the kernel's shutdown raises.
 
     Tasks may still be spawned while the kernel cancels all others, which it reports as an error.
 
@@ -69,17 +71,17 @@
     """
     import curio
 
-    codes: list[int] = []
+    results: list[Result] = []
 
     async def run() -> None:
-        codes.append(await main())
+        results.append(await main())
 
     try:
         curio.run(run)
     except (AssertionError, RuntimeError):
-        if not codes:
+        if not results:
             raise
-    return codes[0]
+    return results[0]
 
 
 def open_process(process_class: Callable[[Settings], Any], settings: Settings) -> Any:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -13,6 +13,7 @@
 import subprocess
 import sys
 import tempfile
+from functools import partial
 
 from . import libraries
 
@@ -22,6 +23,7 @@
 import curio
 
 from sumacloom import http
+from sumacloom.daemon import run_to_end
 from sumacloom.line_protocol import LineSplitter, encode
 from sumacloom.transport.link import dial, listen
 
@@ -374,7 +376,7 @@
         if probe.connect_ex(("127.0.0.1", CTL)) == 0:
             raise SystemExit(f"another fleet serves at 127.0.0.1:{CTL}; end it first")
     try:
-        curio.run(main, "--trial" in sys.argv, started)
+        run_to_end(partial(main, "--trial" in sys.argv, started))
     except KeyboardInterrupt:
         pass
     finally:
