--- a/sumacloom/consensus/node.py
+++ b/sumacloom/consensus/node.py
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple
 
 from sumacloom.consensus import storage
-from sumacloom.consensus.codec import Change, decode, unchanged
+from sumacloom.consensus.codec import Change, Value, decode, unchanged
 from sumacloom.consensus.contact import PeerContact, PeerState
 from sumacloom.consensus.messages import (
     Accept,
@@ -18,7 +18,6 @@
     Committed,
     CommittedValue,
     FetchCommitted,
-    Message,
     Prepare,
     Promise,
     QuorumChanged,
@@ -220,8 +219,7 @@
     def _handle_fetch(self, peer: str, message: FetchCommitted, now: float) -> None:
         if message.key in self.committed:
             number, value = self.committed[message.key]
-            reply: Message = CommittedValue(message.key, number, value or b"")
-            self.outbox.append(Outgoing(peer, reply))
+            self.outbox.append(Outgoing(peer, CommittedValue(message.key, number, value or b"")))
 
     def _handle_committed_value(self, peer: str, message: CommittedValue, now: float) -> None:
         self.commit(message.key, message.proposal_number, message.value, now)
@@ -287,6 +285,11 @@
         self.apply_committed(key, value, now)
         return True
 
+    def committed_value(self, key: str, kind: type[Value]) -> Value | None:
+        """The newest value of a key known to be committed, decoded; None if there is none."""
+        register = self.committed.get(key)
+        return decode(kind, register.value) if register else None
+
     def committed_number(self, key: str) -> ProposalNumber:
         """The number of the newest value of a key known to be committed."""
         register = self.committed.get(key)
@@ -334,11 +337,8 @@
     def _in_contact(self, peer: str, now: float) -> bool:
         if peer == self.me:
             return True
-        return (
-            self.is_alive(peer, now)
-            and self.contact.holds(peer, now)
-            and self.acknowledges_us(peer)
-        )
+        heard = self.is_alive(peer, now) and self.contact.holds(peer, now)
+        return heard and self.acknowledges_us(peer)
 
     def in_quorum(self, now: float) -> bool:
         """Whether we are in contact with a quorum and lack nothing that it had accepted lately."""
--- a/sumacloom/controller/admin/undo_calls.py
+++ b/sumacloom/controller/admin/undo_calls.py
@@ -4,7 +4,6 @@
 import logging
 from typing import TYPE_CHECKING, Any
 
-from sumacloom.consensus.codec import decode
 from sumacloom.controller.admin.routing import route
 from sumacloom.controller.registers import CONFIGURATION_KEY
 from sumacloom.controller.registers.configuration import (
@@ -59,8 +58,7 @@
     core: "ControllerCore", node: str, poolers: list[dict[str, Any]], now: float
 ) -> list[dict[str, Any]]:
     """What this controller, its poolers, and those that ended here without a goodbye hold."""
-    cache, register = core.cache, core.committed.get(CONFIGURATION_KEY)
-    value = decode(ConfigurationValue, register.value) if register else None
+    cache, value = core.cache, core.committed_value(CONFIGURATION_KEY, ConfigurationValue)
     answered = {row["node"]: row for row in poolers}
     own = _row(
         node,
--- a/sumacloom/controller/core.py
+++ b/sumacloom/controller/core.py
@@ -15,7 +15,6 @@
 from sumacloom.consensus.messages import Committed, QuorumChanged
 from sumacloom.consensus.node import KNOWN_S, ConsensusNode
 from sumacloom.consensus.proposal_number import ProposalNumber
-from sumacloom.consensus.quorum import QuorumConfiguration
 from sumacloom.consensus.storage import Log
 from sumacloom.controller.delivery.feed import Feed
 from sumacloom.controller.delivery.log import DeliveryLog
@@ -33,7 +32,6 @@
     PRIORITY_KEY,
     REGISTER_KEYS,
     SUBSCRIBERS_KEY,
-    VOTERS_KEY,
     ZONE_DRAINS_KEY,
 )
 from sumacloom.controller.registers.configuration import ConfigurationValue
@@ -103,7 +101,6 @@
             CONFIGURATION_KEY: self._apply_configuration,
             ZONE_DRAINS_KEY: self._apply_zone_drains,
             FAILOVER_LEASE_KEY: self._apply_lease,
-            VOTERS_KEY: self._apply_voters,
             PRIORITY_KEY: self._apply_priority,
             ACCESS_KEY: self._apply_access,
             POOL_MODES_KEY: self._apply_pool_modes,
@@ -132,6 +129,8 @@
             feed = decode(Feed, value)
             if feed is not None:
                 self.delivery.apply_feed(key.removeprefix(FEED_PREFIX), feed)
+        else:
+            super().apply_committed(key, value, now)
 
     def _apply_configuration(self, value: bytes, _now: float) -> None:
         found = _decode(ConfigurationValue, value)
@@ -147,13 +146,10 @@
     def _apply_lease(self, value: bytes, now: float) -> None:
         self.failover_lease.apply(_decode(LeaseValue, value), now)
 
-    def _apply_voters(self, value: bytes, now: float) -> None:
-        self.apply_quorum(_decode(QuorumConfiguration, value), now)
-
     def _apply_priority(self, value: bytes, now: float) -> None:
         found = _decode(PriorityValue, value)
         self.priority.offered_at = now
-        if self.cache.apply(Update(None, 0, None, None, found.update())):
+        if self.cache.apply(Update(None, 0, None, None, priority=found.update())):
             stage = "in force" if found.in_force else "offered"
             databases = ", ".join(found.wanted) or "none"
             logger.info("the priority databases %d are %s: %s", found.version, stage, databases)
@@ -174,7 +170,7 @@
 
     def _apply_subscribers(self, value: bytes, _now: float) -> None:
         found = _decode(SubscribersValue, value)
-        if self.cache.apply(Update(None, 0, None, None, None, found.update())):
+        if self.cache.apply(Update(None, 0, None, None, subscribers=found.update())):
             rows = [f"{row.name} to {row.database} ({row.state})" for row in found.rows]
             logger.info("the subscribers %d: %s", found.version, ", ".join(rows) or "none")
 
--- a/sumacloom/controller/delivery/subscribers.py
+++ b/sumacloom/controller/delivery/subscribers.py
@@ -138,14 +138,11 @@
 
     def value(self) -> SubscribersValue:
         """The list as this controller knows it to be committed."""
-        register = self._core.committed.get(SUBSCRIBERS_KEY)
-        found = decode(SubscribersValue, register.value) if register else None
-        return found or SubscribersValue()
+        return self._core.committed_value(SUBSCRIBERS_KEY, SubscribersValue) or SubscribersValue()
 
     def feed(self, database: str) -> Feed:
         """A feed as this controller knows it to be committed."""
-        register = self._core.committed.get(FEED_PREFIX + database)
-        return (decode(Feed, register.value) if register else None) or Feed()
+        return self._core.committed_value(FEED_PREFIX + database, Feed) or Feed()
 
     def feed_keys(self) -> list[str]:
         """The keys of the feeds."""
--- a/sumacloom/controller/policy/staged_rollout.py
+++ b/sumacloom/controller/policy/staged_rollout.py
@@ -125,16 +125,11 @@
     return change
 
 
-def committed_value(core: "ControllerCore", key: str, kind: Any) -> Any:
-    """The value as this controller knows it to be committed; None if there is none."""
-    return decode(kind, core.committed[key].value) if key in core.committed else None
-
-
 def advance(
     core: "ControllerCore", key: str, kind: Any, may_enforce: Callable[[Any], bool], now: float
 ) -> None:
     """As holder of the lease: puts an offer into force once it may be."""
-    value = committed_value(core, key, kind)
+    value = core.committed_value(key, kind)
     if value is None or value.in_force:
         return
     if not core.failover_lease.is_held(now) or not core.in_quorum(now):
