--- a/sumacloom/controller/admin/configuration_calls.py
+++ b/sumacloom/controller/admin/configuration_calls.py
@@ -7,7 +7,7 @@
 from sumacloom.controller.registers import CONFIGURATION_KEY
 from sumacloom.controller.registers.configuration import ConfigurationValue, put_configuration
 from sumacloom.errors import BodyTooLargeError, MatchMissingError, NotFoundError
-from sumacloom.http import Reply, Request, json_reply
+from sumacloom.http import MAX_BODY_BYTES, Reply, Request, json_reply
 
 if TYPE_CHECKING:
     from sumacloom.controller.process import ControllerProcess
@@ -18,7 +18,7 @@
 @route("PUT", CONFIGURATION_PATH)
 async def put_config(process: "ControllerProcess", request: Request) -> Reply:
     """The operator's configuration: checked here, committed at a quorum."""
-    if len(request.body) > process.max_configuration_bytes:
+    if len(request.body) > MAX_BODY_BYTES:
         raise BodyTooLargeError
     # pydantic is slow to import: only where configurations arrive
     from sumacloom.configuration.checks import parse_configuration
--- a/sumacloom/controller/admin/fleet_calls.py
+++ b/sumacloom/controller/admin/fleet_calls.py
@@ -1,9 +1,8 @@
 """The fleet's tables and the log level, as calls of the admin API."""
 
-import json
 from typing import TYPE_CHECKING
 
-from sumacloom.controller.admin.routing import route
+from sumacloom.controller.admin.routing import json_field, route
 from sumacloom.controller.admin.tables import TABLES
 from sumacloom.errors import BadRequestError, NotFoundError
 from sumacloom.http import Reply, Request, json_reply
@@ -34,10 +33,7 @@
 @route("PUT", LOG_LEVEL_PATH)
 async def put_log_level(process: "ControllerProcess", request: Request) -> Reply:
     """The log level of the whole fleet, until each process ends."""
-    try:
-        level = json.loads(request.body)["level"]
-    except (ValueError, KeyError, TypeError):
-        level = None
+    level = json_field(request, "level")
     if level not in LEVELS:
         raise BadRequestError(f'the body must be {{"level": one of {", ".join(LEVELS)}}}')
     process.tables.apply_log_level(level)
--- a/sumacloom/controller/admin/pool_mode_calls.py
+++ b/sumacloom/controller/admin/pool_mode_calls.py
@@ -4,6 +4,7 @@
 from typing import TYPE_CHECKING, Any
 
 from sumacloom.consensus.codec import decode
+from sumacloom.controller.admin.holders import holder_row, unanswered_rows
 from sumacloom.controller.admin.orders import commit_order
 from sumacloom.controller.admin.routing import parse_if_match, route
 from sumacloom.controller.policy.pool_modes import AUTO, MODES, PoolModesValue, pin_mode
@@ -58,33 +59,14 @@
     core: "ControllerCore", node: str, poolers: list[dict[str, Any]]
 ) -> list[dict[str, Any]]:
     """Which modes this controller and its poolers hold; who does not answer, or is lost, holds none."""
-    known = {*core.members.sessions, *core.members.lost(core.now)}
-    silent = sorted(known - {row["node"] for row in poolers})
-    own = {
-        "node": node,
-        "role": CONTROLLER_ROLE,
-        "generation": core.cache.pool_modes_version,
-        "digest": pool_modes_checksum(core.cache.pool_modes),
-        "why": "",
-    }
+    own = holder_row(
+        node,
+        CONTROLLER_ROLE,
+        core.cache.pool_modes_version,
+        pool_modes_checksum(core.cache.pool_modes),
+    )
     answered = [
-        {
-            "node": row["node"],
-            "role": POOLER_ROLE,
-            "generation": row["pooling"],
-            "digest": row["pooling_digest"],
-            "why": "",
-        }
+        holder_row(row["node"], POOLER_ROLE, row["pooling"], row["pooling_digest"])
         for row in poolers
     ]
-    unanswered = [
-        {
-            "node": name,
-            "role": POOLER_ROLE,
-            "generation": 0,
-            "digest": "",
-            "why": "does not answer",
-        }
-        for name in silent
-    ]
-    return [own, *answered, *unanswered]
+    return [own, *answered, *unanswered_rows(core, poolers)]
--- a/sumacloom/controller/admin/priority_calls.py
+++ b/sumacloom/controller/admin/priority_calls.py
@@ -1,11 +1,10 @@
 """The priority databases' call of the admin API."""
 
-import json
 from typing import TYPE_CHECKING, Any
 
 from sumacloom.consensus.codec import decode
 from sumacloom.controller.admin.orders import commit_order
-from sumacloom.controller.admin.routing import route
+from sumacloom.controller.admin.routing import json_field, route
 from sumacloom.controller.policy import priority
 from sumacloom.controller.registers import PRIORITY_KEY
 from sumacloom.errors import BadRequestError, UnknownDatabaseError
@@ -19,7 +18,7 @@
 @route("PUT", "/api/admin/lanes")
 async def put_priority(process: "ControllerProcess", request: Request) -> Reply:
     """Offers the set of priority databases; it comes into force once every pooler holds it."""
-    databases = _parse_databases(request.body)
+    databases = _parse_databases(request)
     unknown = sorted(set(databases) - process.core.cache.databases())
     if unknown:
         raise UnknownDatabaseError(f"the configuration has no database '{unknown[0]}'")
@@ -35,12 +34,9 @@
     )
 
 
-def _parse_databases(body: bytes) -> list[str]:
+def _parse_databases(request: Request) -> list[str]:
     error = BadRequestError('the body must be {"databases": [names]}')
-    try:
-        databases = json.loads(body)["databases"]
-    except (ValueError, KeyError, TypeError):
-        raise error from None
+    databases = json_field(request, "databases")
     if not isinstance(databases, list) or len(databases) > priority.MAX_DATABASES:
         raise error
     if not all(isinstance(name, str) and name and " " not in name for name in databases):
--- a/sumacloom/controller/admin/routing.py
+++ b/sumacloom/controller/admin/routing.py
@@ -1,5 +1,6 @@
 """Routes of the HTTP interface: a decorator registers the handler of a method at paths of a pattern."""
 
+import json
 import re
 from collections.abc import Awaitable, Callable
 from typing import Any, NamedTuple, TypeVar
@@ -56,6 +57,18 @@
     return path, query
 
 
+def json_field(request: Request, name: str) -> Any:
+    """A field of the request's JSON object; None if there is no such object or field.
+
+    >>> [json_field(Request("PUT", "/", {}, body), "a") for body in (b'{"a": 1}', b'{}', b'[]', b'?')]
+    [1, None, None, None]
+    """
+    try:
+        return json.loads(request.body)[name]
+    except (ValueError, KeyError, TypeError):
+        return None
+
+
 def parse_if_match(request: Request) -> int | None:
     """The version in If-Match; None if it holds none.
 
--- a/sumacloom/controller/admin/subscriber_calls.py
+++ b/sumacloom/controller/admin/subscriber_calls.py
@@ -7,6 +7,7 @@
 import curio
 
 from sumacloom.consensus.codec import Change, decode
+from sumacloom.controller.admin.holders import holder_row, unanswered_rows
 from sumacloom.controller.admin.orders import commit_order
 from sumacloom.controller.admin.routing import route, split_path
 from sumacloom.controller.delivery.feed import FeedItem, acknowledge, lapsed_error
@@ -232,36 +233,18 @@
 ) -> list[dict[str, Any]]:
     """Which list this controller and its poolers hold; who does not answer, or is lost, holds none."""
     held = core.cache.subscribers
-    known = {*core.members.sessions, *core.members.lost(core.now)}
-    silent = sorted(known - {row["node"] for row in poolers})
-    own = {
-        "node": node,
-        "role": CONTROLLER_ROLE,
-        "generation": held.version,
-        "digest": subscribers_checksum(held),
-        "spooled": len(core.delivery.entries),
-        "why": "",
-    }
+    entries = len(core.delivery.entries)
+    own = holder_row(
+        node, CONTROLLER_ROLE, held.version, subscribers_checksum(held), spooled=entries
+    )
     answered = [
-        {
-            "node": row["node"],
-            "role": POOLER_ROLE,
-            "generation": row["listeners"],
-            "digest": row["listeners_digest"],
-            "spooled": row["unnoted"],
-            "why": "",
-        }
+        holder_row(
+            row["node"],
+            POOLER_ROLE,
+            row["listeners"],
+            row["listeners_digest"],
+            spooled=row["unnoted"],
+        )
         for row in poolers
     ]
-    unanswered = [
-        {
-            "node": name,
-            "role": POOLER_ROLE,
-            "generation": 0,
-            "digest": "",
-            "spooled": 0,
-            "why": "does not answer",
-        }
-        for name in silent
-    ]
-    return [own, *answered, *unanswered]
+    return [own, *answered, *unanswered_rows(core, poolers, spooled=0)]
--- a/sumacloom/controller/admin/undo_calls.py
+++ b/sumacloom/controller/admin/undo_calls.py
@@ -1,10 +1,10 @@
 """Undoing a change of the configuration: one order, and the table of the version that each node holds."""
 
-import json
 import logging
 from typing import TYPE_CHECKING, Any
 
-from sumacloom.controller.admin.routing import route
+from sumacloom.controller.admin.holders import NO_ANSWER
+from sumacloom.controller.admin.routing import json_field, route
 from sumacloom.controller.registers import CONFIGURATION_KEY
 from sumacloom.controller.registers.configuration import (
     ConfigurationValue,
@@ -26,10 +26,7 @@
 @route("POST", "/api/admin/undo")
 async def post_undo(process: "ControllerProcess", request: Request) -> Reply:
     """Brings the body before a version back into force, as a new and higher version."""
-    try:
-        wrong = json.loads(request.body)["generation"]
-    except (ValueError, KeyError, TypeError):
-        wrong = None
+    wrong = json_field(request, "generation")
     if type(wrong) is not int or wrong < 1:
         raise BadRequestError('the body must be {"generation": the one that is to be undone}')
     value = current_value(await process.commit(CONFIGURATION_KEY, undo_configuration(wrong)))
@@ -73,7 +70,7 @@
         why = "" if row["ready"] else "not ready"
         rows.append(_row(name, POOLER_ROLE, row["blueprint"], row["body"], why=why))
     silent = [name for name in core.members.sessions if name not in answered]
-    rows += [_row(name, POOLER_ROLE, why="does not answer") for name in silent]
+    rows += [_row(name, POOLER_ROLE, why=NO_ANSWER) for name in silent]
     lost = core.members.lost(now)
     rows += [
         _row(name, POOLER_ROLE, why=f"gone for {now - seen.at:.0f} s")
--- a/sumacloom/controller/delivery/log.py
+++ b/sumacloom/controller/delivery/log.py
@@ -7,7 +7,7 @@
 
 import logging
 import zlib
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple, TypeVar
 
 from sumacloom.controller.delivery.feed import DOUBTFUL, Feed, FeedEntry, append
 from sumacloom.controller.registers import FEED_PREFIX
@@ -36,6 +36,9 @@
 STORED_RECORD, SPENT_RECORD = "spooled", "spent"  # kinds of our records in the log
 
 
+Notice = TypeVar("Notice", IntentStored, OutcomeAcknowledged, ReplicaStored)
+
+
 class EntryKey(NamedTuple):
     """What tells one write from another; in the order of stored records."""
 
@@ -43,6 +46,10 @@
     database: str
     number: int
 
+    def notice(self, kind: type[Notice]) -> Notice:
+        """The message of that kind about this write."""
+        return kind(self.incarnation, self.number, self.database)
+
 
 def key_of(message: Any) -> EntryKey:
     """The key of what a message is about."""
@@ -132,8 +139,7 @@
                 continue
             dropped.append(key)
             if entry.client and entry.kind:
-                done = OutcomeAcknowledged(key.incarnation, key.number, key.database)
-                self._core.send(entry.client, done)
+                self._core.send(entry.client, key.notice(OutcomeAcknowledged))
         if dropped:
             self._core.storage.write_records([(SPENT_RECORD, *key) for key in dropped])
 
@@ -160,8 +166,7 @@
         entry.waits_for = {"disk"}
         if self._request_replica(key, entry, now):
             entry.waits_for.add("replica")
-        stored = IntentStored(key.incarnation, key.number, key.database)
-        self._core.send_when_synced(self._core.me, stored)
+        self._core.send_when_synced(self._core.me, key.notice(IntentStored))
 
     def take_outcome(self, client: str, message: DeliveryOutcome, now: float) -> None:
         """What became of an intent, here or at a controller that is gone.
@@ -171,8 +176,7 @@
         """
         key = key_of(message)
         if self._feed_has(key):
-            done = OutcomeAcknowledged(key.incarnation, key.number, key.database)
-            self._core.send_when_synced(client, done)
+            self._core.send_when_synced(client, key.notice(OutcomeAcknowledged))
             return
         entry = self.entries.get(key)
         if entry is None:  # not written: its pooler repeats it until the feed has it
@@ -238,16 +242,14 @@
             return
         entry.waits_for.discard(what)
         if not entry.waits_for:
-            stored = IntentStored(key.incarnation, key.number, key.database)
-            self._core.send(entry.client, stored)
+            self._core.send(entry.client, key.notice(IntentStored))
 
     def handle_replica(self, peer: str, message: IntentReplica, now: float) -> None:
         """Another controller asks us to hold a replica."""
         key = key_of(message)
         if not self._feed_has(key):
             self._take_replica(key, peer, message, now)
-        stored = ReplicaStored(key.incarnation, key.number, key.database)
-        self._core.send_when_synced(peer, stored)
+        self._core.send_when_synced(peer, key.notice(ReplicaStored))
 
     def _take_replica(self, key: EntryKey, peer: str, message: IntentReplica, now: float) -> None:
         known = self.entries.get(key)
--- a/sumacloom/controller/process.py
+++ b/sumacloom/controller/process.py
@@ -57,7 +57,6 @@
 QUORUM_CHANGE_S = 0.4  # a change of standing is logged once it has lasted so long
 LEAVE_SHARE = 2 / 3  # of graceS: how long a stopped controller stays at most for what depends on it
 WAKING_S = 0.5  # within it, all that came while the process was stalled has been read
-MAX_CONFIGURATION_BYTES = 4 << 20
 NEVER = -1e9
 
 
@@ -80,7 +79,6 @@
 
     def __init__(self, settings: Settings):
         self.settings = settings
-        self.max_configuration_bytes = MAX_CONFIGURATION_BYTES
         wal = WriteAheadLog(settings.datadir)
         self.core = ControllerCore(settings, wal, random.SystemRandom(), self.now())
         self.core.storage.synchronous = False  # from here on the disk is waited for in a thread
--- a/sumacloom/controller/registry/backends.py
+++ b/sumacloom/controller/registry/backends.py
@@ -219,13 +219,11 @@
     # ------------------------------------------------------------ peers
     def take_records(self, records: list[BackendRecord], now: float) -> list[BackendRecord]:
         """Records from another controller; returns those that were new here."""
-        fresh = [record for record in records if self.cache.is_newer(record)]
+        fresh = self.cache.apply_records(records)
         for record in fresh:
-            self.cache.records[record.name] = record
             self.last_heartbeat_at.setdefault(record.name, now)
             if record.is_gone:
                 self.removed_at.setdefault(record.name, now)
-        self.cache.refresh_records_digest()
         return fresh
 
     def receive_peer(self, peer: str, heartbeat: PeerHeartbeat, now: float) -> None:
--- a/sumacloom/transport/update_cache.py
+++ b/sumacloom/transport/update_cache.py
@@ -137,15 +137,15 @@
             self.access, changed = update.access, True
         if update.pool_modes is not None and self.apply_pool_modes(update.pool_modes):
             changed = True
-        return self._apply_records(update.records or []) or changed
+        return bool(self.apply_records(update.records or [])) or changed
 
-    def _apply_records(self, records: list[BackendRecord]) -> bool:
+    def apply_records(self, records: list[BackendRecord]) -> list[BackendRecord]:
+        """Takes backend records that are newer than ours; returns those."""
         newer = [record for record in records if self.is_newer(record)]
-        if not newer:
-            return False
-        self.records.update((record.name, record) for record in newer)
-        self.refresh_records_digest()
-        return True
+        if newer:
+            self.records.update((record.name, record) for record in newer)
+            self.refresh_records_digest()
+        return newer
 
     def apply_configuration(self, body: bytes) -> bool:
         """Takes a body, compressed or as a difference from ours; returns False for one of no use.
--- a/tests/test_contact_callers.py
+++ b/tests/test_contact_callers.py
@@ -119,12 +119,8 @@
     """The controller C of a land, as its callers meet it."""
 
     def __init__(self, cluster):
-        self.cluster, self.core, self.settings, self.max_configuration_bytes = (
-            cluster,
-            cluster.cores[C],
-            cluster.cores[C].settings,
-            4 << 20,
-        )
+        self.cluster, self.core = cluster, cluster.cores[C]
+        self.settings = self.core.settings
         self.settings.zones = {"a": "north"}
         self.since = cluster.now
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -293,12 +293,7 @@
     """What the handlers of orders see of a controller; changes are applied at once."""
 
     def __init__(self, waking=False):
-        self.settings, self.value, self.woken, self.max_configuration_bytes = (
-            SimpleNamespace(zones={"z": "r"}),
-            None,
-            waking,
-            999,
-        )
+        self.settings, self.value, self.woken = SimpleNamespace(zones={"z": "r"}), None, waking
 
     def is_waking(self):
         return self.woken
