--- a/sumacloom/cli/calls.py
+++ b/sumacloom/cli/calls.py
@@ -5,15 +5,14 @@
 import sys
 import time
 from collections.abc import Callable
-from typing import Any, NoReturn, ParamSpec, TypeVar
+from typing import Any, ParamSpec
 
 from sumacloom.cli import client
-from sumacloom.cli.tables import format_rows
+from sumacloom.cli.client import Json
+from sumacloom.cli.tables import Rows, format_rows
 from sumacloom.errors import LocalViewError, SumacloomError
 
 Parameters = ParamSpec("Parameters")
-Json = TypeVar("Json", dict, list)
-Rows = list[dict[str, Any]]
 
 POLL_S = 0.2
 
@@ -108,9 +107,5 @@
             SumacloomError: the given one, once the time is over.
         """
         if time.monotonic() >= self._ends_at:
-            self._expire(error)
+            raise error
         time.sleep(POLL_S)
-
-    @staticmethod
-    def _expire(error: SumacloomError) -> NoReturn:
-        raise error
--- a/sumacloom/cli/client.py
+++ b/sumacloom/cli/client.py
@@ -4,6 +4,7 @@
 import json
 import os
 import time
+import urllib.parse
 from collections.abc import Callable
 from typing import Any, NamedTuple, TypeVar
 
@@ -74,6 +75,15 @@
             )
 
 
+def quote_path(*parts: str) -> str:
+    """Words of an operator as parts of a path.
+
+    >>> quote_path("books", "a/b")
+    'books/a%2Fb'
+    """
+    return "/".join(urllib.parse.quote(part, safe="") for part in parts)
+
+
 def find_controllers(at: str) -> list[str]:
     """The addresses to try: those named, else the variable's, else the settings file's seeds.
 
--- a/sumacloom/cli/commands.py
+++ b/sumacloom/cli/commands.py
@@ -1,7 +1,6 @@
 """The commands of `sumacloom fleet`."""
 
 import json as json_library
-import urllib.parse
 from collections.abc import Callable, Mapping
 from typing import Any
 
@@ -16,6 +15,7 @@
     show,
     show_table,
 )
+from sumacloom.cli.client import quote_path
 from sumacloom.errors import PriorityPendingError
 
 VOTER_COLUMNS = (
@@ -189,7 +189,7 @@
 
 
 def _order_drain(method: str, zone: str, at: str) -> None:
-    call(at, method, "/api/drain/" + urllib.parse.quote(zone, safe=""), dict)
+    call(at, method, "/api/drain/" + quote_path(zone), dict)
 
 
 @command
--- a/sumacloom/cli/feed_reader.py
+++ b/sumacloom/cli/feed_reader.py
@@ -8,7 +8,6 @@
 import json
 import os
 import time
-import urllib.parse
 from collections.abc import Callable
 from typing import Any
 
@@ -98,8 +97,7 @@
         SumacloomError: a call failed, or the file can't be written.
     """
     last, taken, deadline = last_number(path), 0, clock() + seconds
-    names = [urllib.parse.quote(part, safe="") for part in (database, name)]
-    feed_path = f"/api/admin/items/{'/'.join(names)}"
+    feed_path = f"/api/admin/items/{client.quote_path(database, name)}"
     while (not count or taken < count) and (not seconds or clock() < deadline):
         offset = last + 1 if last else 0
         limit = min(MAX_ITEMS, count - taken) if count else MAX_ITEMS
--- a/sumacloom/cli/subscriptions.py
+++ b/sumacloom/cli/subscriptions.py
@@ -3,7 +3,6 @@
 import hashlib
 import json as json_library
 import os
-import urllib.parse
 
 from sumacloom.cli import client, feed_reader
 from sumacloom.cli.calls import Deadline, call, command, rows_printer, show_table
@@ -68,8 +67,7 @@
     :param database: the database
     :param at: controllers to ask, IP:PORT,IP:PORT
     """
-    parts = [urllib.parse.quote(part, safe="") for part in (database, name)]
-    call(at, "DELETE", f"/api/admin/listeners/{'/'.join(parts)}", dict)
+    call(at, "DELETE", f"/api/admin/listeners/{client.quote_path(database, name)}", dict)
     print(f"{name} no longer subscribes to {database}")
 
 
--- a/sumacloom/consensus/contact.py
+++ b/sumacloom/consensus/contact.py
@@ -9,10 +9,10 @@
 from typing import Any, NamedTuple
 
 from sumacloom.consensus.proposal_number import NO_PROPOSAL, ProposalNumber
+from sumacloom.types import NEVER
 
 CONTACT_S = 1.8  # two heartbeat intervals and the round trip are some 0.8 s; the rest is for delays
 REPORTED_S = 2.8  # what rarely changes is reported once a second: contact, and that second
-NEVER = -1e9
 
 
 class ReportedNumbers(NamedTuple):
--- a/sumacloom/consensus/node.py
+++ b/sumacloom/consensus/node.py
@@ -36,6 +36,7 @@
 from sumacloom.consensus.validation import is_credible
 from sumacloom.errors import RecoveringError
 from sumacloom.settings import Settings, seed_hosts
+from sumacloom.types import NEVER
 
 logger = logging.getLogger(__name__)
 
@@ -43,7 +44,6 @@
 KNOWN_S = 30.0  # a controller that nobody has named for so long is no longer dialled
 COMPLETE_EVERY_S = 0.6  # how often values accepted but not known to be committed are looked for
 CONTACT_NUMBER_MASK = 0x3FFFFFFF
-NEVER = -1e9
 
 Handler = Callable[[str, Any, float], None]
 """Handles a peer's message: (peer, message, now)."""
--- a/sumacloom/consensus/recovery.py
+++ b/sumacloom/consensus/recovery.py
@@ -6,6 +6,7 @@
 from sumacloom.consensus import storage
 from sumacloom.consensus.messages import StateRequest, StateTransfer
 from sumacloom.consensus.proposal_number import NO_PROPOSAL, ProposalNumber
+from sumacloom.types import NEVER
 
 if TYPE_CHECKING:
     from sumacloom.consensus.node import ConsensusNode
@@ -14,7 +15,6 @@
 
 REQUEST_EVERY_S = 0.3
 INCARNATION_BITS = 48
-NEVER = -1e9
 
 
 class StateRecovery:
--- a/sumacloom/consensus/storage.py
+++ b/sumacloom/consensus/storage.py
@@ -18,11 +18,11 @@
 from sumacloom.consensus.proposal_number import NO_PROPOSAL, ProposalNumber, ProposalNumberSource
 from sumacloom.consensus.quorum import INITIAL_VERSION, QuorumConfiguration
 from sumacloom.errors import ForeignLogError, SumacloomError
+from sumacloom.types import NEVER
 
 logger = logging.getLogger(__name__)
 
 FIRST_RETRY_S, MAX_RETRY_S = 1.0, 30.0  # between attempts at a snapshot that the disk refuses
-NEVER = -1e9
 
 # kinds of records that belong to whoever builds on the node, and how many items each has
 EXTENSION_KINDS = {"spooled": 8, "spent": 4, "roster": 2}
--- a/sumacloom/controller/core.py
+++ b/sumacloom/controller/core.py
@@ -49,6 +49,7 @@
 )
 from sumacloom.transport.update_cache import UpdateCache
 from sumacloom.transport.updates import BackendRecord, PositionObservation
+from sumacloom.types import NEVER
 
 logger = logging.getLogger(__name__)
 
@@ -56,7 +57,6 @@
 FULL_HEARTBEAT_S = 1.0  # what rarely changes is sent at least so often
 STORE_BACKENDS_S = 1.0
 FAILOVER_JOB = "failover"  # as the settings name it
-NEVER = -1e9
 
 
 class HeartbeatState(NamedTuple):
--- a/sumacloom/controller/delivery/log.py
+++ b/sumacloom/controller/delivery/log.py
@@ -19,6 +19,7 @@
     OutcomeAcknowledged,
     ReplicaStored,
 )
+from sumacloom.types import NEVER
 
 if TYPE_CHECKING:
     from sumacloom.controller.core import ControllerCore
@@ -31,7 +32,6 @@
 LOST_POOLER_S = 5.0  # a pooler unheard by everyone for so long sends no outcome any more
 APPEND_EVERY_S = 0.1
 MAX_BATCH = 200
-NEVER = -1e9
 
 STORED_RECORD, SPENT_RECORD = "spooled", "spent"  # kinds of our records in the log
 
--- a/sumacloom/controller/failover/executor.py
+++ b/sumacloom/controller/failover/executor.py
@@ -28,6 +28,7 @@
 from sumacloom.settings import split_address
 from sumacloom.transport.link import RECEIVE_BYTES, dial
 from sumacloom.transport.messages import PrimaryPending
+from sumacloom.types import NEVER
 
 if TYPE_CHECKING:
     from sumacloom.controller.process import ControllerProcess
@@ -39,7 +40,6 @@
 OTHERS_S = 0.15  # how long the rest of a batch is waited for once one backend has answered
 PROMOTE_TIMEOUT_S = 1.2
 BATCH_POLL_S = 0.01
-NEVER = -1e9
 
 # results of a query besides a status and a backend's own error code
 READY, REFUSED, RESET, WRONG_HOST = "READY", "REFUSED", "RESET", "WRONGHOST"
--- a/sumacloom/controller/failover/lease.py
+++ b/sumacloom/controller/failover/lease.py
@@ -5,6 +5,7 @@
 
 from sumacloom.controller.registers import FAILOVER_LEASE_KEY
 from sumacloom.controller.registers.lease import LeaseValue, acquire_lease, release_lease
+from sumacloom.types import NEVER
 
 if TYPE_CHECKING:
     from sumacloom.controller.core import ControllerCore
@@ -14,7 +15,6 @@
 WARM_UP_S = 1.1  # after a start, the time in which a living holder is heard
 STAGGER_S = 0.3  # how much later the next controller in line stands for the lease
 RELEASE_REST_S = 6.0
-NEVER = -1e9
 
 
 class FailoverLease:
--- a/sumacloom/controller/failover/lease_confirmation.py
+++ b/sumacloom/controller/failover/lease_confirmation.py
@@ -14,6 +14,7 @@
 from sumacloom.controller.registers import FAILOVER_LEASE_KEY
 from sumacloom.controller.registers.lease import LeaseValue
 from sumacloom.errors import SumacloomError
+from sumacloom.types import NEVER
 
 if TYPE_CHECKING:
     from sumacloom.controller.core import ControllerCore
@@ -25,7 +26,6 @@
 LEASE_S = CONFIRMED_S + FLIGHT_S
 ATTEMPTS = 2
 RATE_WINDOW_S, SHARE_OF_RATE = 1.0, 0.8
-NEVER = -1e9
 
 
 class LeaseRead(NamedTuple):
--- a/sumacloom/controller/policy/access.py
+++ b/sumacloom/controller/policy/access.py
@@ -14,6 +14,7 @@
 from sumacloom.controller.policy import staged_rollout
 from sumacloom.controller.registers import ACCESS_KEY
 from sumacloom.transport.updates import AccessUpdate
+from sumacloom.types import NEVER
 
 if TYPE_CHECKING:
     from sumacloom.controller.core import ControllerCore
@@ -21,7 +22,6 @@
 READ_EVERY_S = 0.5
 ENFORCE_S = 3.3  # longer than a pooler's LEASE_S by more than its clock's tick
 MAX_STAMPS = 32
-NEVER = -1e9
 
 
 class AccessValue(staged_rollout.StagedValue[bytes]):
--- a/sumacloom/controller/pooler_link.py
+++ b/sumacloom/controller/pooler_link.py
@@ -4,8 +4,7 @@
 
 from sumacloom.controller.policy.access import StampQueue
 from sumacloom.transport.link import Link
-
-NEVER = -1e9
+from sumacloom.types import NEVER
 
 
 class PoolerLink(Link):
--- a/sumacloom/controller/pooler_sessions.py
+++ b/sumacloom/controller/pooler_sessions.py
@@ -13,6 +13,7 @@
     Message,
     PoolerHeartbeat,
 )
+from sumacloom.types import NEVER
 
 if TYPE_CHECKING:
     from sumacloom.controller.core import ControllerCore
@@ -20,7 +21,6 @@
 FAN_OUT = 4  # how many poolers of a zone, or of a parent, take their updates directly
 COUNT_EVERY_S = 0.1
 SUSPECT_REPEAT_S = 0.5
-NEVER = -1e9
 
 
 class PoolerSessions:
@@ -52,14 +52,8 @@
         """Sends the poolers that take their updates from us what they lack."""
         cache, digest = self._core.cache, self._core.cache.digest()
         for link in self.links.values():
-            if link.digest is None or link.digest == digest or link.parent:
-                continue
-            if not link.send_buffer.flush():
-                continue  # it gets the newest once the link is through
-            update = cache.update_for(link.digest)
-            if update:
-                link.send(update)
-            link.digest = digest
+            if link.digest != digest and not link.parent:
+                cache.send_newer(link, digest)
 
     def receive(self, link: PoolerLink, peer: Hello, message: Any, now: float) -> None:
         """A message of a pooler."""
--- a/sumacloom/controller/process.py
+++ b/sumacloom/controller/process.py
@@ -57,7 +57,6 @@
 QUORUM_CHANGE_S = 0.4  # a change of standing is logged once it has lasted so long
 LEAVE_SHARE = 2 / 3  # of graceS: how long a stopped controller stays at most for what depends on it
 WAKING_S = 0.5  # within it, all that came while the process was stalled has been read
-NEVER = -1e9
 
 
 class Waiter(NamedTuple):
--- a/sumacloom/controller/registry/backends.py
+++ b/sumacloom/controller/registry/backends.py
@@ -25,6 +25,7 @@
     BackendRecord,
     PositionObservation,
 )
+from sumacloom.types import NEVER
 
 logger = logging.getLogger(__name__)
 
@@ -37,7 +38,6 @@
 OBSERVATION_S = 2.0
 HEARTBEAT_STEP_S = 0.1
 OVERDUE_HEARTBEATS = 1.6  # a primary is probed when its heartbeat is so many intervals old
-NEVER = -1e9
 
 # a change of any of these must reach others at once
 SUBSTANCE = ("service", "address", "zone", "slots", "phase", "role", "incarnation")
--- a/sumacloom/controller/registry/members.py
+++ b/sumacloom/controller/registry/members.py
@@ -15,7 +15,6 @@
 )
 REMEMBER_S = 120.0  # how long a pooler lost without a goodbye is named where all must agree
 GOODBYE_S = 10.0
-NEVER = -1e9
 
 # on the wire these stand in place of the priority version that a pooler holds
 LEFT, GOODBYE, LOST = -1, -2, -3
--- a/sumacloom/controller/stall_detector.py
+++ b/sumacloom/controller/stall_detector.py
@@ -1,7 +1,8 @@
 """Notices that this process was stalled: what it reads then may have come long before."""
 
+from sumacloom.types import NEVER
+
 STALL_S = 0.6  # a longer gap between two ticks counts as a stall; the clock ticks every 50 ms
-NEVER = -1e9
 
 
 class StallDetector:
--- a/sumacloom/pooler/admission.py
+++ b/sumacloom/pooler/admission.py
@@ -9,6 +9,7 @@
 from sumacloom.configuration.access_list import AccessList
 from sumacloom.configuration.model import decompress
 from sumacloom.transport.updates import AccessUpdate
+from sumacloom.types import NEVER
 
 logger = logging.getLogger(__name__)
 LEASE_S = 3.0  # shorter than the controllers' ENFORCE_S
@@ -40,7 +41,7 @@
             first = (
                 max(self.received_at, cache) == 2
             )  # the first list ever, offered: none is in force yet
-            self.until = now + LEASE_S if first else -1e9
+            self.until = now + LEASE_S if first else NEVER
         if confirmed is not None and cache >= reported:
             self.until = max(self.until, confirmed + LEASE_S)
 
--- a/sumacloom/pooler/completion.py
+++ b/sumacloom/pooler/completion.py
@@ -47,15 +47,9 @@
             backend.idle.remove(connection)
 
 
-def judge(core, pending, lines: list[str]) -> None:
-    """The outcome on a write that is subscribed to, if it is one."""
-    if pending.intent:
-        delivery.judge(core, pending, lines)
-
-
 def finish(core, pending, lines: list[str], now: float, position=None) -> None:
     """The client's reply; what it sent meanwhile follows."""
-    judge(core, pending, lines)
+    delivery.judge(core, pending, lines)
     core.complete(pending)
     core.reply(pending.session, lines, now, position)
     core.advance(pending.session, now)
--- a/sumacloom/pooler/controller_session.py
+++ b/sumacloom/pooler/controller_session.py
@@ -119,13 +119,8 @@
         """Sends each child what it lacks; one whose link is still full gets the newest once that is through."""
         digest = self.cache.digest()
         for child in self.children:
-            if not child.send_buffer.flush():
-                continue
-            if child.digest is not None and child.digest != digest:
-                update = self.cache.update_for(child.digest)
-                if update:
-                    child.send(update)
-                child.digest = digest
+            child.send_buffer.flush()
+            self.cache.send_newer(child, digest)
 
     def heartbeat(self, reporting: bool = False) -> None:
         """Sends a heartbeat now."""
--- a/sumacloom/pooler/core.py
+++ b/sumacloom/pooler/core.py
@@ -20,6 +20,7 @@
 from sumacloom.pooler.statement_handlers import HANDLERS
 from sumacloom.settings import Settings
 from sumacloom.state_machines import load_state_machine
+from sumacloom.types import NEVER
 
 logger = logging.getLogger(__name__)
 SHUTDOWN = load_state_machine("graceful_shutdown")
@@ -39,7 +40,7 @@
         self.leaving, self.leaving_at = SHUTDOWN.start, 0.0
         self.effects: list[Effect] = []
         self.failed_backends: list[str] = []
-        self.warmed_at, self.ticked_at, self.stalled = -1e9, None, False
+        self.warmed_at, self.ticked_at, self.stalled = NEVER, None, False
         self.priority_databases, self.unsure, self.isolated = set(), False, False
         self.access_control, self.pool_modes = AccessControl(), PoolModes(settings.pooling)
 
--- a/sumacloom/pooler/delivery.py
+++ b/sumacloom/pooler/delivery.py
@@ -7,6 +7,7 @@
 from sumacloom.pooler.effects import SendToController
 from sumacloom.pooler.pending_statement import StatementStage
 from sumacloom.transport.messages import DeliveryIntent, DeliveryOutcome
+from sumacloom.types import NEVER
 
 HOLD_S = 0.6  # how long a write waits for its intent to be held
 AGAIN_S = 1.0
@@ -26,7 +27,7 @@
         self.numbers: dict[str, int] = {}
         self.waiting: dict[tuple, object] = {}  # (database, number): the statement held back
         self.unacknowledged: dict[tuple, DeliveryOutcome] = {}
-        self.reported_at = -1e9
+        self.reported_at = NEVER
 
     def wants(self, database: str) -> bool:
         """Whether somebody may be listening.
--- a/sumacloom/pooler/pool_mode.py
+++ b/sumacloom/pooler/pool_mode.py
@@ -9,6 +9,7 @@
 
 from sumacloom.settings import PoolSettings
 from sumacloom.transport.updates import PoolModeRow
+from sumacloom.types import NEVER
 
 STATEMENT, TRANSACTION = "statement", "transaction"
 MOST_TALLIES, MOST_NAMES = 4096, 1024
@@ -40,7 +41,7 @@
             OrderedDict()
         )  # (database, who): sessions seen to need transactions
         self.said: dict[tuple, float] = {}
-        self.judged_at = -1e9
+        self.judged_at = NEVER
 
     def take(self, version: int, rows: dict[str, PoolModeRow]) -> None:
         """Takes what the fleet holds.
@@ -127,7 +128,7 @@
             and who not in self.of(database).exceptions
             and not self.of(database).pinned
         ]
-        fresh = [mind for mind in found if now - self.said.get(mind, -1e9) >= SAY_AGAIN_S]
+        fresh = [mind for mind in found if now - self.said.get(mind, NEVER) >= SAY_AGAIN_S]
         self.said = {mind: self.said[mind] for mind in found if mind in self.said}
         self.said.update(dict.fromkeys(fresh, now))
         return fresh
--- a/sumacloom/pooler/process.py
+++ b/sumacloom/pooler/process.py
@@ -198,8 +198,8 @@
             await self.run_effects()
 
     # ------------------------------------------------------------ updates
-    async def apply_update(self, _news) -> None:
-        """The board has something newer."""
+    async def apply_update(self, _update) -> None:
+        """The cache has something newer."""
         cache: UpdateCache = self.controller_session.cache
         now = self.now()
         if cache.configuration:
--- a/sumacloom/pooler/server_pools.py
+++ b/sumacloom/pooler/server_pools.py
@@ -8,7 +8,7 @@
 from sumacloom.pooler.service_pool import Backend, ServicePool
 from sumacloom.settings import Settings, is_address, split_address
 from sumacloom.transport.updates import PositionObservation
-from sumacloom.types import Position
+from sumacloom.types import NEVER, Position
 
 logger = logging.getLogger(__name__)
 MAX_BACKOFF_S = 1.2
@@ -165,7 +165,7 @@
             (
                 backend
                 for backend in service_pool.backends.values()
-                if backend.primary_seen_at > -1e9
+                if backend.primary_seen_at > NEVER
                 and backend.role == "primary"
                 and now >= backend.read_only_at + REFUSED_S
                 and (backend.idle or now >= backend.backoff_until)
--- a/sumacloom/pooler/server_results.py
+++ b/sumacloom/pooler/server_results.py
@@ -92,7 +92,7 @@
         return
     if result.code:
         connection.dirty = True
-        setup_mishap(core, pending, result, now)
+        setup_failed(core, pending, result, now)
     else:
         setup_step(core, pending, now)
 
@@ -122,14 +122,14 @@
     if not isinstance(pending, PendingStatement) or pending.stage != StatementStage.SETUP:
         settle(core, connection, now)
     elif result.code:
-        setup_mishap(core, pending, result, now)
+        setup_failed(core, pending, result, now)
     else:
         if pending.transaction and not pending.session.closed:
             pending.transaction.connection = connection
         setup_step(core, pending, now)
 
 
-def setup_mishap(core, pending, result, now: float) -> None:
+def setup_failed(core, pending, result, now: float) -> None:
     """The connection could not be prepared; nothing of the client's has run."""
     connection, transaction = pending.connection, pending.transaction
     if transaction and transaction.connection is connection and transaction.statements_run:
--- a/sumacloom/pooler/service_pool.py
+++ b/sumacloom/pooler/service_pool.py
@@ -2,7 +2,7 @@
 
 from sumacloom.pooler.primary_positions import PrimaryPositions
 from sumacloom.pooler.replica_health import ReplicaHealth
-from sumacloom.types import LOG_START
+from sumacloom.types import LOG_START, NEVER
 
 MOST_RESENDS, RESENDS_PER_S, RESENDS_PER_SUCCESS = 20.0, 5.0, 0.5
 
@@ -43,17 +43,17 @@
         self.order = (-1, -1)
         self.connections, self.idle, self.dialing = {}, [], 0
         self.backoff = self.backoff_until = 0.0
-        self.read_only_at = -1e9
-        self.primary_seen_at = -1e9
+        self.read_only_at = NEVER
+        self.primary_seen_at = NEVER
         self.closing_at = None
         self.tokens, self.tokens_at = 1.0, 0.0
         self.role, self.phase = "replica", "up"
         self.cold_until = 0.0
         self.unreachable_since = None
-        self.connection_limit_until = self.statement_mode_at = -1e9
+        self.connection_limit_until = self.statement_mode_at = NEVER
         self.deprioritized_until = (
-            -1e9
-        )  # it failed or shed a statement of ours: reads go elsewhere first
+            NEVER  # it failed or shed a statement of ours: reads go elsewhere first
+        )
 
 
 class ServicePool:
@@ -81,7 +81,7 @@
         self.replica_health = ReplicaHealth(health, turn)
         self.primary_positions = PrimaryPositions()
         self.seeking = self.without_primary_since = None
-        self.swept_at = self.read_at = self.pending_until = -1e9
+        self.swept_at = self.read_at = self.pending_until = NEVER
         self.primary_position, self.primary_name = LOG_START, ""
         self.resends, self.resends_at = MOST_RESENDS, 0.0
 
--- a/sumacloom/transport/update_cache.py
+++ b/sumacloom/transport/update_cache.py
@@ -11,6 +11,7 @@
     decode_configuration,
     decompress,
 )
+from sumacloom.transport.link import Link
 from sumacloom.transport.messages import Update
 from sumacloom.transport.updates import (
     AccessUpdate,
@@ -220,6 +221,15 @@
         """Brings the digest up to date after a change of `records`."""
         self.records_digest = digest_records(self.records.values())
 
+    def send_newer(self, link: Link, digest: UpdateDigest) -> None:
+        """Sends a far end what it lacks of `digest`, our present one; a link still full gets it later."""
+        if link.digest is None or link.digest == digest or not link.send_buffer.flush():
+            return
+        update = self.update_for(link.digest)
+        if update:
+            link.send(update)
+        link.digest = digest
+
     def update_for(self, other: UpdateDigest) -> Update | None:
         """What a daemon with that digest lacks; None if nothing."""
         own = self.digest()
--- a/sumacloom/types.py
+++ b/sumacloom/types.py
@@ -2,6 +2,8 @@
 
 from typing import NamedTuple
 
+NEVER = -1e9  # a moment long past, in seconds on the steady clock
+
 
 class Position(NamedTuple):
     """A position in a backend's replication log; an older term is behind, whatever its number.
